--- a/siskinspoke/coordination/election_timer.py
+++ b/siskinspoke/coordination/election_timer.py
@@ -1,9 +1,9 @@
 """Adaptive timeouts for leader failure detection and elections.
 
 An election succeeds only if the timeout exceeds the time that the election takes, which depends on
-the disks and processors of the group.  The configured timeout is the minimum.  Timeouts increase
-with the delays that this replica measures; the election timeout also backs off after each lost
-election that a majority had agreed to in a trial.
+the disks and processors of the group. The configured timeout is the minimum. Timeouts increase with
+the delays that this replica measures; the election timeout also backs off after each lost election
+whose pre-vote had succeeded.
 """
 
 import random
@@ -11,7 +11,7 @@
 from siskinspoke.coordination.delays import RecentDelays
 from siskinspoke.coordination.replica_types import Times
 
-# A reply waits for one turn of the loop on each side, and for a turn already in progress.
+# A reply waits for one event loop iteration on each side, and for an iteration in progress.
 TURNS_PER_REPLY = 3.0
 # A voter's sync may queue behind one in progress, and its disk may be slower than the local one.
 SYNCS_PER_VOTE = 3.0
--- a/siskinspoke/coordination/replica/__init__.py
+++ b/siskinspoke/coordination/replica/__init__.py
@@ -1,24 +1,24 @@
-"""One control replica's decisions: elections, replication, recovery.  No I/O, no clock.
+"""Raft consensus for one control replica: elections, replication and recovery.
 
-The owner feeds it messages and the time, then takes its output: it must sync the records
-before it sends the messages or applies the commits.  The protocol follows Raft, with these
-guards beside it:
+The implementation performs no I/O and reads no clock. The caller passes in messages and the
+current time and processes the resulting ``Output``, whose docstring specifies what must be synced
+before which messages are sent. The protocol is Raft with these additions:
 
-* a trial vote goes before a real one, so that a replica that was cut off does not depose a
-  healthy leader when it returns;
-* a leader that hears no majority for an election timeout steps down, so that an isolated one
-  stops believing in itself;
-* every vote and acknowledgement carries the incarnation of its sender's disk.  A replica whose
-  disk was emptied has a new incarnation, which counts for nothing until the others, without
-  it, have committed an entry that admits it.  It has forgotten its votes, so counting them
-  earlier could elect two leaders in one term, and has forgotten what it acknowledged, so
-  counting those could lose an accepted change.
+* A pre-vote (``trial``) precedes each election, so that a replica that reconnects after a network
+  partition does not depose a healthy leader.
+* A leader that receives no replies from a majority within the leader timeout steps down, so that
+  an isolated leader does not continue to act as one.
+* Every vote and acknowledgement carries the incarnation of its sender's disk. A replica whose disk
+  was erased gets a new incarnation, which is not counted until the other members have committed
+  an ``admit`` entry for it without its help. Since it has lost its votes, counting it earlier could
+  elect two leaders in one term; since it has lost the entries that it acknowledged, counting it
+  could lose a committed change.
 
-Members may change, one at a time (``membership`` tells how the log gives them): a replica that
-asks to join is first brought up to date without a vote.
+Membership changes one replica at a time; ``membership`` derives the members from the log. A replica
+that joins first catches up as a learner without a vote.
 
-A module a concern: ``core`` holds the state; ``elections``, ``leading``, ``following`` and
-``members`` act on it.
+``core`` holds the state. ``elections``, ``leading``, ``following`` and ``members`` are mixins that
+operate on it.
 """
 
 from typing import Any
@@ -44,10 +44,10 @@
 
 
 class Replica(MembershipChanges, Electing, Leading, Following):
-    """Decide what one control replica does next; times are monotonic milliseconds."""
+    """Raft state machine of one control replica; times are in monotonic milliseconds."""
 
     def next_wake(self) -> float:
-        """Return when ``tick`` has something to do at the latest."""
+        """Return the time by which ``tick`` must be called next."""
         due = self._next_due()
         return due if self._contacts is None else min(due, self._join_at)
 
@@ -61,7 +61,7 @@
                 return self._election_at
 
     def tick(self, now: float) -> None:
-        """Act on the passing of time."""
+        """Process expired timers."""
         self._ask_to_join(now)
         match self.role:
             case Role.NEW:
@@ -75,7 +75,7 @@
                 self._stand(now, trial=True)
 
     def synced(self, mark: SyncMark, now: float) -> None:
-        """Act on the completed sync of all outputs up to ``mark``."""
+        """Handle the completed sync of all outputs up to ``mark``."""
         self._advance_durable(mark)
         self._resume_elections_if_vote_durable(mark, now)
         match self.role:
@@ -85,7 +85,7 @@
                 self._acknowledge_durable()
 
     def receive(self, item: Any, now: float) -> None:
-        """Act on one message."""
+        """Handle one message from another replica."""
         match item:
             case Introduce():
                 reply = IntroduceReply(self.name, item.run, self.fresh)
--- a/siskinspoke/coordination/replica/core.py
+++ b/siskinspoke/coordination/replica/core.py
@@ -1,4 +1,4 @@
-"""What one control replica holds, whatever its role: identity, term, log, commit, members."""
+"""Replica state shared by all roles: identity, term, log, commit index and members."""
 
 import math
 import random
@@ -21,7 +21,7 @@
 
 
 class ReplicaCore:
-    """The state of a replica, and what every role does with it; times are in milliseconds."""
+    """State of a replica and the operations common to all roles; times are in milliseconds."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         restored: Restored,
         rng: random.Random,
         now: float,
-        start: Start = AskPeers(),  # noqa: B008  (it is frozen)
+        start: Start = AskPeers(),  # noqa: B008  (frozen dataclass)
     ):
         self.name = name
         self.identity = restored.identity
@@ -84,7 +84,7 @@
 
     @property
     def members(self) -> dict[str, int]:
-        """Return the incarnation of each member's disk."""
+        """Return the current members and the disk incarnation of each."""
         return self._membership.current
 
     @property
@@ -92,25 +92,25 @@
         return [member for member in self.members if member != self.name]
 
     def set_contacts(self, names: tuple[str, ...]) -> None:
-        """Name replicas to ask for a place where no leader speaks to this one.
+        """Set the replicas to send join requests to while no leader contacts this one.
 
-        Only with contacts does the group change its members.
+        Membership changes are enabled only if this has been called.
         """
         self._contacts = names
 
     @property
     def leader_heard_at(self) -> float:
-        """Return when a leader was last heard from; initially the start time of this replica."""
+        """Return the time of the last message from a leader; initially the start time."""
         return self._leader_heard_at
 
     @property
     def admitted(self) -> bool:
-        """Tell whether this replica's votes and acknowledgements count."""
+        """Return whether this replica's votes and acknowledgements count."""
         return self.identity is not None and self._counts(self.name, self.identity.incarnation)
 
     @property
     def fresh(self) -> bool:
-        """Tell whether this replica can be a founder that has neither a term nor a log."""
+        """Return whether this replica may be a founder and has neither a term nor a log."""
         founder = self.identity is None or self.identity.incarnation == FOUNDER
         return founder and self.term == 0 and self.log.last_index == 0
 
@@ -125,12 +125,12 @@
         self._election_at = now + self.timer.follower_timeout(now)
 
     def _suspend_elections_until_vote_durable(self) -> None:
-        """Start no election until the vote in the next output is durable."""
+        """Disable the election timeout until the vote in the next output is durable."""
         self._pending_vote_output = self._output_count + 1
         self._election_at = math.inf
 
     def _resume_elections_if_vote_durable(self, mark: SyncMark, now: float) -> None:
-        """Start the election timeout if the sync up to ``mark`` covers the last vote."""
+        """Restart the election timeout if the sync up to ``mark`` covers the last vote."""
         if self._pending_vote_output and mark.number >= self._pending_vote_output:
             self._pending_vote_output = 0
             self._election_at = now + self.timer.vote_timeout(now)
@@ -138,19 +138,19 @@
                 self._vote_durable_at = now
 
     def take_output(self) -> Output:
-        """Return what has to be done since the last call."""
+        """Return and clear the actions accumulated since the last call."""
         out, self._out = self._out, Output()
         self._output_count += 1
         out.mark = SyncMark(self._output_count, self.log.last_index, self.log.last_term)
         return out
 
     def _advance_durable(self, mark: SyncMark) -> None:
-        """Treat entries up to ``mark`` as durable unless they have been replaced since."""
+        """Mark entries up to ``mark`` as durable unless they have been replaced since."""
         if self.log.term_at(mark.index) == mark.term:
             self._durable_index = max(self._durable_index, mark.index)
 
     def _put_entry(self, entry: Entry) -> None:
-        """Put an entry into the log and queue its record for writing."""
+        """Store an entry in the log and queue its record for writing."""
         self._durable_index = min(self._durable_index, entry.index - 1)
         self.log.put(entry)
         self._out.records.append(entry)
@@ -176,23 +176,23 @@
         self.commit = max(self.commit, index)
 
     def _admit(self, admitted: Admitted) -> None:
-        """Count a replaced disk from now on, also after a restart.
+        """Count the votes of a replaced disk from now on, including after a restart.
 
-        Without the record a restarted replica would not count the disk until it hears a
-        leader, and two such replicas could elect none.
+        Without the record, a restarted replica would not count the disk until it received a
+        message from a leader, and two such replicas could not elect one.
         """
         if self._membership.admit(admitted):
             self._out.records.append(admitted)
 
     def persistent_records(self) -> list[HardState | Admitted | Committed | Entry]:
-        """Return all that the journal must hold beside the snapshot."""
+        """Return the records that the journal must contain in addition to the snapshot."""
         entries = self.log.between(self.log.base_index + 1, self.log.last_index)
         admitted = self._membership.admitted
         hard = HardState(self.term, self._voted_for)
         return [hard, *admitted, *entries, Committed(self.commit)]
 
     def compact(self, index: int, document: dict) -> Snapshot:
-        """Replace the log up to an applied index by a snapshot of the state there."""
+        """Replace the log up to an applied index with a snapshot of the state at that index."""
         members = self._membership.at(self.log, index)
         snapshot = Snapshot(index, self.log.term_at(index), members, document)
         self.snapshot = snapshot
--- a/siskinspoke/coordination/replica/elections.py
+++ b/siskinspoke/coordination/replica/elections.py
@@ -1,4 +1,4 @@
-"""How replicas elect a leader: a trial vote first, and only disks that count."""
+"""Leader election: pre-vote, voting and vote counting."""
 
 from siskinspoke.coordination.replica.core import ReplicaCore
 from siskinspoke.coordination.replica_types import LostElection, Refusal, Role
@@ -6,10 +6,10 @@
 
 
 class Electing(ReplicaCore):
-    """Stand, vote, and count votes."""
+    """Start elections, answer vote requests and count votes."""
 
     def _stand(self, now: float, trial: bool, handover: bool = False) -> None:
-        """Ask for votes, first on trial."""
+        """Start a pre-vote if ``trial`` is set, otherwise an election in the next term."""
         self._rearm(now)
         if not self.admitted:
             return
@@ -42,7 +42,7 @@
         self._count_votes(now)
 
     def _report_lost_election(self) -> None:
-        """Add the current election to the output if this replica is a candidate."""
+        """Report the current election as lost if this replica is a candidate."""
         if self.role is not Role.CANDIDATE:
             return
         votes = self._trial_votes if self._trial else self._votes
@@ -63,10 +63,10 @@
             self._stand(now, trial=False)
 
     def _learn_commit(self, index: int, term: int) -> None:
-        """Take over what another replica knows to be committed, where the logs agree there.
+        """Advance the commit index to that of another replica if the logs match there.
 
-        After a repair, perhaps one replica alone has heard that the replaced disk counts.  If
-        it could not pass that on with its votes, the others would refuse each other forever.
+        After a disk is replaced, a single replica may know that its ``admit`` entry is committed.
+        Unless vote messages propagate this, the others would refuse each other's votes forever.
         """
         if index > self.commit and self.log.term_at(index) == term:
             self._commit_to(index)
@@ -100,8 +100,8 @@
     def _refusal_reason(self, request: VoteRequest, now: float) -> Refusal | None:
         """Return why a vote is refused, or None if it is granted.
 
-        Whether a granted vote counts is for the candidate to know: it stands only if its own disk
-        counts, and counts only votes of disks whose admission it knows to be committed.
+        The voter does not check disk incarnations. A candidate starts an election only if its own
+        disk is admitted, and counts only votes from disks whose admission it knows to be committed.
         """
         mine = (self.log.last_term, self.log.last_index)
         if (request.last_term, request.last_index) < mine:
@@ -119,17 +119,17 @@
     def _may_violate_lease(self, request: VoteRequest, now: float) -> bool:
         """Return whether a vote could elect a new leader while the current one holds a lease.
 
-        The trial vote does not rule this out: this replica may hear the leader again while the
-        candidate syncs its own vote.
+        The pre-vote does not rule this out: this replica may receive another message from the
+        leader while the candidate syncs its own vote.
         """
         if request.trial or request.handover or self.role is Role.LEADER:
             return False
         return now - self._leader_heard_at < self._times.election_ms
 
     def _has_no_recent_leader_or_vote(self, now: float) -> bool:
-        """Return whether this replica has neither heard a leader nor voted recently.
+        """Return whether the replica neither had contact with a leader nor voted recently.
 
-        This uses the configured timeout instead of the adaptive one because leases depend on it.
+        Uses the configured timeout instead of the adaptive one because leases depend on it.
         """
         if self.role is Role.LEADER or (self.role is Role.FOLLOWER and self._pending_vote_output):
             return False
@@ -138,8 +138,8 @@
     def _on_vote_reply(self, reply: VoteReply, now: float) -> None:
         self._learn_commit(reply.commit, reply.commit_term)
         if reply.own_term > self.term:
-            # Otherwise a replica with the longer log and the lower term would be refused for
-            # its term, the other one for its log, and neither would ever lead.
+            # Adopt the voter's term. Otherwise, of two replicas, the one with the longer log could
+            # be refused for its lower term and the other for its log, so neither would ever lead.
             self._refusals[reply.sender] = Refusal.TERM
             self._report_lost_election()
             self._set_term(reply.own_term)
@@ -149,7 +149,7 @@
             return
         counts = self._counts(reply.sender, reply.incarnation)
         if reply.granted and counts:
-            # A vote stays valid throughout its term, even after the next trial has started.
+            # A vote stays valid throughout its term, even after the next pre-vote has started.
             (self._trial_votes if reply.trial else self._votes).add(reply.sender)
             self._count_votes(now)
         elif reply.trial == self._trial:
--- a/siskinspoke/coordination/replica/following.py
+++ b/siskinspoke/coordination/replica/following.py
@@ -1,4 +1,4 @@
-"""What a replica does with a leader's word: append, commit, take a snapshot."""
+"""Follower role: append entries, advance the commit index and install snapshots."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class MatchedPrefix(NamedTuple):
-    """The last index at which the log matches a leader's, and when the leader sent its message."""
+    """Last index known to match the leader's log, and send time of the message that showed it."""
 
     leader: str
     term: int
@@ -17,12 +17,12 @@
 
 
 class Following(ReplicaCore):
-    """Follow the leader of the current term."""
+    """Handle messages from the leader of the current term."""
 
     _matched: MatchedPrefix | None = None
 
     def _hear_leader(self, sender: str, term: int, now: float) -> bool:
-        """Follow the sender if its term is current; False if it is an old leader's word."""
+        """Follow the sender; return False if its term is outdated."""
         if term < self.term:
             return False
         if term > self.term:
@@ -41,13 +41,13 @@
     def _accept(self, to: Append | Install, index: int) -> None:
         """Acknowledge that the log matches up to ``index``, and how much of it is durable.
 
-        Sent without waiting for a sync, so that a slow disk does not depose the leader.
+        The reply does not wait for a sync, so that a slow disk does not depose the leader.
         """
         self._matched = MatchedPrefix(to.sender, to.term, index, to.sent_at)
         self._reply(to.sender, True, min(index, self._durable_index), to.sent_at, index)
 
     def _acknowledge_durable(self) -> None:
-        """Acknowledge to the current leader the entries that a sync has made durable."""
+        """Acknowledge entries that a sync has made durable to the current leader."""
         matched = self._matched
         if matched is not None and (matched.leader, matched.term) == (self.leader, self.term):
             match = min(matched.index, self._durable_index)
@@ -86,10 +86,10 @@
         self._accept(install, self.commit)
 
     def _take_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the log up to the snapshot's end; keep what follows it, if it agrees.
+        """Replace the log up to the snapshot's index; keep later entries if the terms match.
 
-        The entries after it may have been acknowledged; dropping them would break the word
-        that a majority holds them.
+        The later entries may have been acknowledged. If they were discarded, a majority might no
+        longer hold an entry that the leader counts as replicated.
         """
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot.index)
--- a/siskinspoke/coordination/replica/leading.py
+++ b/siskinspoke/coordination/replica/leading.py
@@ -1,4 +1,4 @@
-"""What a leader does: replicate, commit, step down without a majority, answer for reads."""
+"""Leader role: replication, commit, leases, and stepping down without a majority."""
 
 import math
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class Leading(ReplicaCore):
-    """Lead the group, and know for how long that holds."""
+    """Replicate the log as the leader and track how long leadership is certain."""
 
     def _become_leader(self, now: float) -> None:
         self.role = Role.LEADER
@@ -27,11 +27,11 @@
         if self.log.last_index:
             self.propose(NOOP, None, now)
         else:
-            # The log itself names the founders, for members that join and never knew them.
+            # Record the founders in the log for members that join later and do not know them.
             self.propose(FOUND, dict(self.members), now)
 
     def propose(self, kind: str, body: Any, now: float) -> int | None:
-        """Append a command as the leader and return its index; None at any other replica."""
+        """Append a command to the log and return its index, or None if this is not the leader."""
         if self.role is not Role.LEADER:
             return None
         entry = Entry(self.log.last_index + 1, self.term, kind, body)
@@ -44,9 +44,10 @@
         return entry.index
 
     def hand_over(self, now: float) -> None:
-        """Stop leading in favour of the follower that holds most.
+        """Transfer leadership to the most up-to-date follower.
 
-        Otherwise a planned restart costs claims and changes a whole election timeout.
+        Without this, a planned restart would block claims and configuration changes for a whole
+        election timeout.
         """
         if self.role is not Role.LEADER:
             return
@@ -56,10 +57,10 @@
         self._step_down(now)
 
     def _lead(self, now: float) -> None:
-        """Send heartbeats, and step down without a majority.
+        """Send due heartbeats, or step down if a majority no longer replies.
 
-        An isolated leader would otherwise go on believing; so would one that was frozen and
-        thaws: its first tick finds that it has heard nobody for too long.
+        Without the check, an isolated leader, or one whose VM was suspended and resumed, would
+        continue to act as leader. A resumed leader fails the check in its first tick.
         """
         if not self._has_heard_majority(now):
             self._step_down(now)
@@ -72,7 +73,7 @@
             self._replicate(now, heartbeat=True)
 
     def _has_heard_majority(self, now: float) -> bool:
-        """Tell whether a majority, counting this leader, was heard within the leader timeout.
+        """Return whether a majority, including this leader, replied within the leader timeout.
 
         Checks the configured election timeout first: the adaptive timeout is never shorter,
         and is more expensive to compute.
@@ -119,15 +120,15 @@
         item.in_flight_until = 0.0
         if reply.sent_at > item.leased_from:
             self.timer.round_trips.add(now - reply.sent_at, now)
-        # The follower heard the message that it answers at that message's time or later.  The
-        # time of any later message would be too late: it may not have arrived.
+        # The follower received the message that it answers no earlier than it was sent. A later
+        # message must not extend the lease, since it may not have arrived.
         item.leased_from = max(item.leased_from, reply.sent_at)
         if not reply.accepted:
             item.next_index = max(1, min(reply.match + 1, item.next_index - 1))
             self._send_entries(reply.sender, item, now)
             return
         item.match = max(item.match, reply.match)
-        # Do not resend entries that the follower has received but not yet synced.
+        # Skip entries that the follower has received but not yet synced.
         item.next_index = max(item.next_index, item.match + 1, reply.received + 1)
         self._advance_commit(now)
         self._admit_if_caught_up(reply.sender, item, now)
@@ -135,16 +136,16 @@
             self._send_entries(reply.sender, item, now)
 
     def _advance_commit(self, now: float) -> None:
-        """Commit what a majority holds, counting only this term's entries and known disks."""
+        """Commit entries of this term that a majority of admitted disks holds."""
         own = self._durable_index if self.admitted else None
         reached = self._followers.held_by(len(self.members) // 2, own)
         if reached > self.commit and self.log.term_at(reached) == self.term:
             self._commit_to(reached)
-            # Followers learn of the commit at once, so that each may answer for it.
+            # Tell followers immediately, so that each of them can serve the committed entries.
             self._replicate(now, heartbeat=True)
 
     def _admit_if_caught_up(self, name: str, item: Progress, now: float) -> None:
-        """Propose to count a replaced disk, once it holds all that is committed."""
+        """Propose to admit a replaced disk once it holds all committed entries."""
         if name not in self.members or self._counts(name, item.incarnation):
             return
         if item.match < self.commit or not self._may_change_members():
@@ -152,11 +153,12 @@
         self.propose(ADMIT, {"name": name, "incarnation": item.incarnation}, now)
 
     def lease_until(self) -> float:
-        """Return until when no other replica can have been elected; -inf where none leads.
+        """Return the time until which no other replica can be elected; -inf if not the leader.
 
-        A majority grants no trial vote for an election timeout after it has heard the leader.
-        The time counts from the sending of what it has answered, since it may have been heard
-        at once.  A tenth is left for clocks that run at different rates.
+        For an election timeout after hearing from the leader, a majority refuses both pre-votes
+        and votes, except for a handover. The lease is counted from the time at which the
+        acknowledged message was sent, since the follower may have received it at once. It is a
+        tenth shorter than the election timeout to allow for clocks that run at different rates.
         """
         if self.role is not Role.LEADER:
             return -math.inf
@@ -166,25 +168,25 @@
         return self._followers.leased_from(needed) + self._times.election_ms * LEASE_SHARE
 
     def may_read(self) -> bool:
-        """Tell whether this leader's commit covers all that earlier leaders have committed."""
+        """Return whether the commit index covers all entries committed by earlier leaders."""
         return self.role is Role.LEADER and self.log.term_at(self.commit) == self.term
 
     def heard_since(self, asked_at: float, confirmed_by: str | None = None) -> bool:
-        """Tell whether a majority has followed this leader since a time of its own clock.
+        """Return whether a majority has followed this leader since a time of its own clock.
 
-        Then no other leader had committed anything newer by that time, so what this one holds
-        is the newest that anybody was told.  ``confirmed_by`` is a follower that counts as having
-        followed this leader since then.
+        If so, no other leader had committed a newer entry by that time, and a read from this
+        leader is linearizable. ``confirmed_by`` is a follower that counts as having followed this
+        leader since then.
         """
         return self._followers.confirmed_since(asked_at, len(self.members) // 2, confirmed_by)
 
     def is_followed_by(self, name: str, term: int, incarnation: int) -> bool:
-        """Tell whether a counted member with this term and incarnation follows this leader."""
+        """Return whether a follower in this term with this incarnation is a voting member."""
         if self.role is not Role.LEADER or term != self.term:
             return False
         return self._counts(name, incarnation)
 
     def beat_now(self, now: float) -> None:
-        """Send heartbeats at once, for a reader that waits to hear of a majority."""
+        """Send heartbeats immediately, for a read that waits for confirmation by a majority."""
         if self.role is Role.LEADER:
             self._replicate(now, heartbeat=True)
--- a/siskinspoke/coordination/replica/members.py
+++ b/siskinspoke/coordination/replica/members.py
@@ -1,4 +1,4 @@
-"""How a replica gets its place in the group, and how the group changes its members."""
+"""Bootstrap of a replica, joining a group, and membership changes by the leader."""
 
 from siskinspoke.coordination.founding import FOUNDER, new_incarnation
 from siskinspoke.coordination.membership import ADD, ADMIT, FOUND, REMOVE, may_drop
@@ -6,12 +6,11 @@
 from siskinspoke.coordination.replica_types import AskPeers, FoundNow, JoinGroup, Role
 from siskinspoke.protocol.replication import Identity, IntroduceReply, Join
 
-# Milliseconds between two questions of a replica that looks for a leader.
-JOIN_MS = 200.0
+JOIN_INTERVAL_MS = 200.0
 
 
 class MembershipChanges(ReplicaCore):
-    """Join, let in, and drop members: one change at a time."""
+    """Join a group, and add or remove one member at a time."""
 
     def _introduce(self, now: float) -> None:
         match self._start:
@@ -25,14 +24,14 @@
                 self._become_known(FOUNDER, now)
 
     def _ask_to_join(self, now: float) -> None:
-        """Ask for a place while no leader speaks to this replica.
+        """Send join requests while no leader contacts this replica.
 
-        It may be new, or have been removed while it was silent; a removed one does not know
-        it, since the entry that removed it never reached it.
+        The replica may be new or may have been removed while it was unreachable. A removed
+        replica cannot know this, since it never received the entry that removed it.
         """
         if self._contacts is None or self.role is Role.NEW or now < self._join_at:
             return
-        self._join_at = now + JOIN_MS
+        self._join_at = now + JOIN_INTERVAL_MS
         heard = now - self._leader_heard_at < self._times.election_ms and self.leader is not None
         if self.role is Role.LEADER or (heard and self.admitted):
             return
@@ -57,16 +56,15 @@
             self._send_entries(request.sender, item, now)
 
     def _follow_all(self, now: float) -> None:
-        """Keep the progress of members and learners alone."""
+        """Track the progress of exactly the current members and learners."""
         names = [*self._peers, *self._learners.names]
         self._followers.follow(names, self.log.last_index + 1, now)
 
     def _may_change_members(self) -> bool:
-        """Tell whether a change of members may be proposed.
+        """Return whether a membership change may be proposed.
 
-        Two changes at once could give two groups that share no member a majority each.  A new
-        leader must first commit an entry of its own term, since until then an earlier change
-        may still be undone.
+        Two concurrent changes could create two disjoint majorities. A new leader must first commit
+        an entry of its own term, since until then an earlier change may still be reverted.
         """
         if self.log.term_at(self.commit) != self.term:
             return False
@@ -74,7 +72,7 @@
         return not any(entry.kind in (ADD, ADMIT, FOUND, REMOVE) for entry in pending)
 
     def _change_members(self, now: float) -> None:
-        """Let in a learner that has caught up, or drop a member that is silent."""
+        """Add a learner that has caught up, or remove an unresponsive member."""
         if self._contacts is None or not self._may_change_members():
             return
         self._learners.forget(now)
--- a/siskinspoke/coordination/replica_types.py
+++ b/siskinspoke/coordination/replica_types.py
@@ -1,4 +1,4 @@
-"""What a control replica's decisions are made of: roles, times, what is on disk, what to do."""
+"""Data types of a control replica: roles, timing, restored state and output."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class Role(Enum):
-    """What a replica is at the moment."""
+    """Raft role of a replica; NEW means that it has no identity yet."""
 
     NEW = "new"
     FOLLOWER = "follower"
@@ -58,24 +58,24 @@
 
 @dataclass(frozen=True)
 class AskPeers:
-    """With an empty folder, ask all other members whether they are as new."""
+    """On an empty disk, ask all other members whether their disks are empty too."""
 
 
 @dataclass(frozen=True)
 class FoundNow:
-    """With an empty folder, be one of the founders: the settings say that all is new."""
+    """On an empty disk, become a founder, since the settings declare a new group."""
 
 
 @dataclass(frozen=True)
 class JoinGroup:
-    """With an empty folder, ask the members that exist to be let in."""
+    """On an empty disk, ask to join the existing members."""
 
 
 Start = AskPeers | FoundNow | JoinGroup
 
 
 class Restored(NamedTuple):
-    """What a replica finds on its disk; no identity means an empty folder."""
+    """State restored from disk; without an identity, the data folder is empty."""
 
     identity: Identity | None = None
     hard: HardState = HardState(0, "")
@@ -90,7 +90,7 @@
     snapshot: Snapshot | None,
     records: Iterable[HardState | Admitted | Committed | Entry | Checkpoint],
 ) -> Restored:
-    """Return what a replica finds, from its journal's records in the order of writing.
+    """Return the state of a replica from its journal records in the order of writing.
 
     A snapshot in the journal takes precedence over the ``snapshot`` argument.
     """
@@ -138,5 +138,5 @@
 
     @property
     def has_writes(self) -> bool:
-        """Tell whether the output has anything to write to disk."""
+        """Return whether the output contains anything to write to disk."""
         return bool(self.records) or self.identity is not None or self.snapshot is not None
--- a/tests/coordination/test_replica.py
+++ b/tests/coordination/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the control replicas' decisions under schedules of faults."""
+"""Tests of control replicas under randomized fault schedules."""
 
 import random
 
@@ -32,10 +32,10 @@
 
 
 class TestSchedules:
-    """Kills, emptied disks, freezes, cuts, lost and doubled messages, in any order.
+    """Crashes, erased disks, suspensions, partitions, and lost or duplicated messages.
 
-    A user would see an accepted configuration revert, or a debtor get two letters, if two
-    replicas led one term or an accepted command were lost.
+    Guards against two leaders in one term and against the loss of a committed command, either of
+    which could revert an accepted configuration or execute a non-idempotent request twice.
     """
 
     @pytest.mark.parametrize("count", [3, 5])
@@ -51,21 +51,21 @@
 
 
 class CountsForgottenDisks(Replica):
-    """Mutant: an emptied disk counts at once."""
+    """Mutant: an erased disk is counted immediately."""
 
     def _counts(self, name, incarnation):
         return True
 
 
 class ForgetsItsVote(Replica):
-    """Mutant: term and vote are not kept on disk."""
+    """Mutant: term and vote are not written to disk."""
 
     def _set_term(self, term, voted_for=""):
         self.term, self._voted_for = term, voted_for
 
 
 class VotesForShorterLogs(Replica):
-    """Mutant: a vote is given whatever log the candidate has."""
+    """Mutant: a vote is granted even if the candidate's log is less up to date."""
 
     def _refusal_reason(self, request, now):
         granted = request.trial or (
@@ -75,7 +75,7 @@
 
 
 class FoundsAgain(Replica):
-    """Mutant: an emptied disk believes that the whole system is new."""
+    """Mutant: a replica with an erased disk becomes a founder again."""
 
     def _on_introduce_reply(self, reply, now):
         if self.role is Role.NEW:
@@ -83,7 +83,7 @@
 
 
 class TestMutants:
-    """Each guard switched off must make some schedule fail."""
+    """Disabling any safety check must make some schedule fail."""
 
     @pytest.mark.parametrize(
         "mutant", [CountsForgottenDisks, ForgetsItsVote, VotesForShorterLogs, FoundsAgain]
@@ -98,7 +98,7 @@
 
 
 def follower(name="r0", hard=FIRST_TERM, entries=(), admitted=()):
-    """Return a replica of three that was restarted from a disk."""
+    """Return a replica of a group of three that was restored from disk."""
     identity = Identity(name, 1)
     restored = Restored(identity, hard, None, admitted, entries)
     return Replica(name, ["r0", "r1", "r2"], TIMES, restored, random.Random(1), 0.0)
@@ -108,10 +108,9 @@
     """Votes and leadership."""
 
     def test_isolated_leader_steps_down(self):
-        """An operator asks a leader that a silent cut has isolated.
+        """Guards against two replicas that act as leader for as long as a partition lasts.
 
-        It still believes; the others elect anew.  Without the count of who was heard, two
-        would answer as leaders for as long as the cut lasts.
+        The isolated leader gets no error, while the others elect a new leader.
         """
         group = ReplicaGroup(3, 1)
         group.heal(3_000)
@@ -122,10 +121,10 @@
         assert group.replicas[name].role is not Role.LEADER
 
     def test_lower_term_with_longer_log_can_lead(self):
-        """After the leader's disk is lost, the two others refuse each other forever.
+        """Guards against two replicas that refuse each other's votes forever.
 
-        One has the longer log and the lower term, the other the reverse: trial votes do not
-        raise terms, so each refuses the other until the reply tells the voter's term.
+        After the leader's disk is lost, one has the longer log and the other the higher term.
+        Pre-votes do not increase terms, so the candidate must adopt the term in the reply.
         """
         replica = follower(hard=HardState(1, ""), entries=(Entry(1, 1, "noop", None),))
         replica.tick(10_000)
@@ -133,10 +132,11 @@
         assert replica.term == 2
 
     def test_restart_keeps_the_admission_of_a_replaced_disk(self):
-        """A VM restarts just after a neighbour's disk was replaced, and the third one is lost.
+        """Guards against a group of two that cannot elect a leader.
 
-        Only the restarted VM knew that the new disk counts; if it forgot, or could not say so
-        with its votes, the two that are left would refuse each other.
+        Only the restarted VM knew that the replaced disk of another VM is admitted, and the third
+        VM is lost. If it did not restore this, and pass it on with its votes, the two remaining
+        replicas would refuse each other's votes.
         """
         admit = Entry(1, 1, "admit", {"name": "r1", "incarnation": 77})
         replica = follower(entries=(admit,), admitted=(Admitted("r1", 77, 1),))
@@ -144,7 +144,7 @@
         assert replica.commit == 1
 
     def test_vote_is_given_once_in_a_term(self):
-        """Two candidates of one term ask the same replica, which restarted in between."""
+        """Guards against a second vote in the same term after a restart of the voter."""
         replica = follower(hard=HardState(5, "r1"))
         group_request = {"incarnation": 1, "term": 5, "last_index": 9, "last_term": 5}
         replica.receive(
@@ -294,7 +294,7 @@
 
 
 class TestLease:
-    """The time in which no other replica can have been elected."""
+    """The period during which no other replica can be elected."""
 
     def test_vote_is_refused_after_leader_is_heard_again(self):
         """A vote granted here could elect a new leader while the old one holds a lease."""
@@ -317,7 +317,7 @@
         assert reply.granted
 
     def test_lease_ends_before_a_successor_can_lead(self):
-        """In every schedule of faults, nobody leads while another one holds a lease."""
+        """Guards against two replicas that hold a lease at the same time."""
         for seed in range(150):
             group = ReplicaGroup(3, seed)
             group.heal(3_000)
--- a/tests/coordination/test_replicated_log.py
+++ b/tests/coordination/test_replicated_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log that a replica holds after its snapshot."""
+"""Tests of the in-memory log that follows a replica's snapshot."""
 
 from siskinspoke.coordination.replicated_log import ReplicatedLog
 from siskinspoke.protocol.replication import Entry
@@ -8,10 +8,10 @@
     """Slices of the log."""
 
     def test_end_before_the_base_is_empty(self):
-        """A replica restarts from a snapshot and hands out entries nobody has committed.
+        """Guards against applying uncommitted entries after a restart from a snapshot.
 
-        The admission of a disk lies before the snapshot's end; a negative slice took all
-        entries but the last as committed, and another leader later put others in their place.
+        If the admission of a disk precedes the end of the snapshot, a negative slice index selected
+        all entries but the last as committed. A later leader then overwrote them.
         """
         log = ReplicatedLog(base_index=14, base_term=2)
         log.put(Entry(15, 2, "command", 1))
