--- a/siskinspoke/coordination/founding.py
+++ b/siskinspoke/coordination/founding.py
@@ -1,4 +1,4 @@
-"""Decide what a replica with an empty folder is: a founder, or one that has lost its disk."""
+"""Determine whether a replica with an empty disk is a founder or has lost its data."""
 
 import random
 
@@ -10,16 +10,19 @@
 
 
 def new_incarnation(rng: random.Random) -> int:
-    """Return an incarnation that no founder and, but for chance, no other disk has."""
+    """Return a random disk incarnation that differs from that of founders.
+
+    A collision with another disk is possible but negligibly unlikely.
+    """
     return rng.randrange(FOUNDER + 1, HIGHEST_INCARNATION)
 
 
 class Founding:
-    """Ask the other replicas; found the system if every one is as new, join it if one is not.
+    """Query the other replicas; become a founder if all are new, join the group otherwise.
 
-    The founders' incarnation may be taken only where no vote of this replica can exist: its
-    candidate would have a term.  A reply must be to this start's question, since an older one
-    may date from before the disk was lost.
+    A replica may use the founders' incarnation only if it cannot have voted before. If it had, the
+    candidate would have a term and would not be new. Only replies to a query of the current process
+    run are valid, since an older reply may date from before the disk was lost.
     """
 
     def __init__(self, name: str, peers: list[str], rng: random.Random, now: float):
@@ -31,14 +34,14 @@
         self._fresh: set[str] = set()
 
     def questions(self, now: float) -> list[tuple[str, Introduce]]:
-        """Return the questions that are due, with whom they go to."""
+        """Return the queries that are due, each with its recipient."""
         if now < self.next_question_at:
             return []
         self.next_question_at = now + INTRODUCE_MS
         return [(peer, Introduce(self._name, self._run)) for peer in self._peers]
 
     def hear(self, reply: IntroduceReply) -> int | None:
-        """Return the incarnation that the replies so far give, or None."""
+        """Process a reply and return the incarnation of this replica once it is known."""
         if reply.run != self._run:
             return None
         if not reply.fresh:
--- a/siskinspoke/coordination/membership.py
+++ b/siskinspoke/coordination/membership.py
@@ -1,9 +1,9 @@
-"""Who the members of a replica group are, as the log gives them.
+"""Membership of a replica group, derived from the replicated log.
 
-A member that is added or removed counts from the moment at which its entry is in the log, also
-before the entry is committed, and no longer if the entry is replaced.  One change at a time
-then keeps any two majorities that may exist together overlapping.  A replaced disk (ADMIT) is
-another matter: it counts only once its entry is committed without it.
+An addition or removal takes effect when its entry is appended to the log, before it is committed,
+and is reverted if the entry is overwritten. Since only one change may be pending at a time, any two
+majorities overlap. A replaced disk (ADMIT) differs: it is counted only after its entry has been
+committed without its help.
 """
 
 from collections.abc import Mapping
@@ -13,17 +13,17 @@
 
 FOUND, ADD, REMOVE, ADMIT = "found", "add-member", "remove-member", "admit"
 KINDS = frozenset({FOUND, ADD, REMOVE, ADMIT})
-# How long a member may be silent before an even group drops it: four election timeouts of the
-# slowest setting in use, so that an election or a slow disk is over by then.  Milliseconds.
+# Time without contact after which a group of even size removes a member: four times the longest
+# election timeout in use, so that an election or a slow disk does not cause a removal.
 SILENT_MS = 2_500.0
-# A group of this size or less is not made smaller: with two members no disk may be lost.
+# With only two members, the loss of a single disk could not be tolerated.
 LEAST_MEMBERS = 3
-# A learner that has not asked for this long is gone.  Milliseconds, five times JOIN_MS.
+# Time without a join request after which a learner is discarded: five times JOIN_INTERVAL_MS.
 LEARNER_MS = 1_000.0
 
 
 class Membership:
-    """Derive the members from a base (founders or snapshot) and the log after it."""
+    """Members according to a base (founders or snapshot) and the log entries that follow it."""
 
     def __init__(self, founders: Mapping[str, int]):
         self._base = dict(founders)
@@ -33,16 +33,16 @@
 
     @property
     def current(self) -> dict[str, int]:
-        """Return the incarnation of each member's disk."""
+        """Return the current members and the disk incarnation of each."""
         return self._current
 
     @property
     def admitted(self) -> list[Admitted]:
-        """Return the replaced disks that the log after the base lets count."""
+        """Return the replaced disks that have been admitted since the base."""
         return list(self._admitted.values())
 
     def reset(self, members: Mapping[str, int]) -> None:
-        """Begin from a snapshot's members."""
+        """Restart from the members in a snapshot."""
         self._base = dict(members)
         self._admitted = {
             name: item
@@ -53,14 +53,14 @@
         self._current = self._derive(self._seen)
 
     def follow(self, log: ReplicatedLog) -> None:
-        """Take over what the log now holds."""
+        """Update the members after the log has changed."""
         seen = _changes(log, log.last_index)
         if seen != self._seen:
             self._seen = seen
             self._current = self._derive(seen)
 
     def admit(self, item: Admitted) -> bool:
-        """Let a replaced disk count; False if it does already or its member has gone."""
+        """Admit a replaced disk; return False if it is admitted already or not a member's."""
         if self._current.get(item.name) in (None, item.incarnation):
             return False
         self._admitted[item.name] = item
@@ -89,7 +89,7 @@
         return members
 
     def _apply_admission(self, members: dict[str, int], entry: Entry) -> None:
-        """Count a replaced disk where its entry is known to be committed."""
+        """Update a member's incarnation if the ``admit`` entry is known to be committed."""
         name = entry.body["name"]
         known = self._admitted.get(name)
         if name in members and known is not None and known.index >= entry.index:
@@ -97,43 +97,44 @@
 
 
 def _changes(log: ReplicatedLog, last: int) -> list[Entry]:
-    """Return the entries up to an index that change the members."""
+    """Return the membership entries up to an index."""
     return [entry for entry in log.between(log.base_index + 1, last) if entry.kind in KINDS]
 
 
 class Learners:
-    """Replicas that asked to join and are being brought up to date by this leader."""
+    """Replicas that requested to join and are catching up with this leader."""
 
     def __init__(self) -> None:
         self._asked_at: dict[str, float] = {}
 
     @property
     def names(self) -> list[str]:
-        """Return the learners' names."""
+        """Return the names of all learners."""
         return list(self._asked_at)
 
     def asked(self, name: str, now: float) -> None:
-        """Note that a replica asked to join."""
+        """Record the time of a join request, adding the learner if it is new."""
         self._asked_at[name] = now
 
     def drop(self, name: str) -> None:
-        """Forget one learner."""
+        """Remove a learner."""
         self._asked_at.pop(name, None)
 
     def forget(self, now: float) -> None:
-        """Forget learners that ask no more."""
+        """Remove learners that no longer send join requests."""
         for name, at in list(self._asked_at.items()):
             if now - at > LEARNER_MS:
                 del self._asked_at[name]
 
 
 def may_drop(silent: Mapping[str, float], size: int, now: float) -> str | None:
-    """Return the member to remove, if any: ``silent`` tells when each other one was heard.
+    """Return the member to remove, if any.
 
-    Only a group of even size drops one: its majority then shrinks by one too, so the group can
-    lose as many of those left as before, and no more copies are given up than the majority
-    needs.  A group of odd size would gain nothing.  A member that was only away asks to join
-    again when it is back.
+    ``silent`` maps each other member to the time of its last message. Only a group of even size
+    removes a member: its majority shrinks by one too, so it tolerates as many failures among the
+    remaining members as before, and it gives up no more copies than the smaller majority allows.
+    A group of odd size would gain nothing. A removed member that becomes reachable again sends a
+    join request.
     """
     if size % 2 or size <= LEAST_MEMBERS or not silent:
         return None
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of replica groups whose members come and go."""
+"""Tests of replica groups with changing membership."""
 
 import random
 
@@ -16,10 +16,10 @@
 
 
 class TestElasticSchedules:
-    """Machines are replaced for good between kills, cuts, freezes and emptied disks.
+    """Permanent replacement of VMs, mixed with crashes, partitions, suspensions and erased disks.
 
-    A user would see an accepted configuration revert if a group counted a machine that is
-    gone, or let one in that has forgotten what it promised, at the wrong moment.
+    Guards against the loss of an accepted configuration, which occurs if the group counts a VM that
+    is gone, or adds one that has lost its votes and acknowledged entries, at the wrong time.
     """
 
     @pytest.mark.parametrize("count", [3, 4, 6, 8])
@@ -31,19 +31,19 @@
 
 
 class TestFounding:
-    """How a group begins, and who may not begin one."""
+    """Bootstrap of a group."""
 
     def test_eight_found_and_join(self):
-        """Eight empty machines start; three are named as seeds, and five ask to be let in."""
+        """Eight VMs start with empty disks: three are configured as seeds and five join."""
         group = ElasticGroup(8, 1)
         group.heal(8_000)
         group.check_members()
 
     def test_a_machine_with_a_lost_disk_does_not_found(self):
-        """A seed's disk is lost while the two others are cut off from it.
+        """Guards against a second group with its own leader.
 
-        It restarts alone with an empty folder.  If it founded a group, it would accept changes
-        that the others never hear of.
+        A seed loses its disk while it is partitioned from the two others and restarts with an empty
+        data folder. As a founder, it would accept changes that the others never receive.
         """
         replica = Replica("r0", [], TIMES, Restored(), random.Random(1), 0.0, JoinGroup())
         replica.set_contacts(("r0", "r1", "r2"))
@@ -53,7 +53,7 @@
         assert {type(item) for _, item in replica.take_output().sends} == {Join}
 
     def test_founders_are_kept_on_disk(self):
-        """A founder restarts with settings that name other seeds by then."""
+        """Guards against a founder that restarts with changed seeds and loses its group."""
         replica = Replica("r0", ["r0", "r1"], TIMES, Restored(), random.Random(1), 0.0, FoundNow())
         replica.tick(0.0)
         identity = replica.take_output().identity
@@ -62,33 +62,33 @@
 
 
 class TwoChangesAtOnce(Replica):
-    """Mutant: members change while an earlier change is still open."""
+    """Mutant: a membership change is proposed while an earlier one is uncommitted."""
 
     def _may_change_members(self):
         return True
 
 
 class LearnersCount(Replica):
-    """Mutant: whoever has asked to join counts at once."""
+    """Mutant: a learner is counted as soon as it has requested to join."""
 
     def _counts(self, name, incarnation):
         return name in self.members or name in self._learners.names
 
 
 class TestOneChangeAtATime:
-    """Two changes at once could give two groups that share no member a majority each."""
+    """Two concurrent changes could create two disjoint majorities."""
 
     def test_a_second_learner_waits_for_the_first(self):
-        """Two machines ask to join a leader that is cut off from its followers.
+        """Guards against two majorities after two VMs join a leader without its followers.
 
-        Neither entry can be committed.  If both were proposed, the leader and the two newcomers
-        would be three of five, while its two followers elect another leader as two of three.
+        Neither entry can be committed. If both were proposed, the leader and the two learners would
+        be three of five, while the two followers elect another leader as two of three.
         """
         assert self.newcomers_counted(Replica) == 1
         assert self.newcomers_counted(TwoChangesAtOnce) == 2
 
     def newcomers_counted(self, kind: type[Replica]) -> int:
-        """Return how many of two newcomers the leader counts before anything is committed."""
+        """Return how many of two learners become members before anything is committed."""
         group = ElasticGroup(3, 3, kind)
         group.heal(3_000)
         leader = next(r for r in group.replicas.values() if r.role is Role.LEADER)
@@ -104,19 +104,20 @@
 
 
 class TestLearners:
-    """A replica that was let in to catch up counts for nothing until it is a member."""
+    """A learner that is catching up is not counted until it is a member."""
 
     def test_its_acknowledgement_commits_nothing(self):
-        """A leader is cut off from both followers; a newcomer reaches it and takes its entries.
+        """Guards against a change that is reported as accepted and then lost.
 
-        If the newcomer counted, an operator would be told that a change is accepted which the
-        two others, electing a leader of their own, never see.
+        A leader is partitioned from both followers and replicates to a learner. If the learner
+        counted, the leader would commit a change that the two others, which elect their own
+        leader, never receive.
         """
         assert not self.commits_alone(Replica)
         assert self.commits_alone(LearnersCount)
 
     def commits_alone(self, kind: type[Replica]) -> bool:
-        """Tell whether a leader commits with a learner's word and its own."""
+        """Return whether a leader commits with acknowledgements from itself and a learner only."""
         group = ElasticGroup(3, 3, kind)
         group.heal(3_000)
         leader = next(r for r in group.replicas.values() if r.role is Role.LEADER)
@@ -130,7 +131,7 @@
 
 
 class TestDropping:
-    """When a silent member loses its place."""
+    """Removal of unresponsive members."""
 
     @pytest.mark.parametrize(("size", "dropped"), [(2, None), (3, None), (4, "b"), (5, None)])
     def test_only_even_groups_drop(self, size, dropped):
