--- a/siskinspoke/coordination/claims.py
+++ b/siskinspoke/coordination/claims.py
@@ -1,9 +1,10 @@
-"""Claims on non-idempotent requests, as replicated state: each key runs at most once.
+"""Replicated claims on non-idempotent requests: each idempotency key is executed at most once.
 
-A claim is never taken over by time: a frozen VM that thaws still holds its claim, so it can
-do no harm by using it.  A claim whose attempt never began is freed only by proof: the target
-server has confirmed that it never will.  Keys expire by the clock of the log, which never
-goes back, and an expired key is refused, so forgetting it is safe.
+A claim is never taken over because of a timeout, so a VM that resumes after a suspension still owns
+its claim and can safely use it. A claim whose attempt did not start is released only after the
+target server has confirmed that it will never execute the attempt. Keys expire according to the
+replicated clock, which never goes backward. Expired keys are rejected, so their claims can be
+deleted.
 """
 
 import heapq
@@ -23,7 +24,7 @@
 
 
 class Claim(NamedTuple):
-    """One key's state; ``state`` is claimed, free or ran."""
+    """State of one idempotency key; ``state`` is CLAIMED, FREE or RAN."""
 
     expires_ms: int
     state: str
@@ -38,7 +39,7 @@
 
 
 class ClaimBook:
-    """Apply claim commands in log order; the same log gives the same book everywhere."""
+    """Apply claim commands in log order, with the same result at every replica."""
 
     def __init__(self) -> None:
         self._claims: dict[str, Claim] = {}
@@ -48,7 +49,7 @@
         return len(self._claims)
 
     def claim(self, request: ClaimRequest, clock_ms: int) -> ClaimAnswer:
-        """Grant a claim, or tell who holds it or how it ended."""
+        """Grant a claim, or return its current owner or the result of the execution."""
         self.forget(clock_ms)
         if request.expires_ms <= clock_ms:
             return ClaimAnswer(int(ResultCode.KEY_EXPIRED))
@@ -58,8 +59,8 @@
         if held is None or held.state == FREE:
             return self._grant(request, 1 if held is None else held.attempt + 1)
         if held.state == CLAIMED and held.owner == request.owner and held.target == request.target:
-            # The answer to the first try was lost; the owner string names one request of one
-            # incarnation of one VM, so this is the same attempt asking again.
+            # This is a retry of the same attempt after its answer was lost: the owner string
+            # identifies one request of one incarnation of one VM.
             return self._answer(ResultCode.OK, held)
         code = ResultCode.IN_PROGRESS if held.state == CLAIMED else ResultCode.ALREADY_RAN
         return self._answer(code, held)
@@ -77,7 +78,7 @@
         )
 
     def lookup(self, request: LookupRequest, clock_ms: int) -> ClaimAnswer:
-        """Tell what is held on a key; OK means that no attempt of it holds or ran."""
+        """Return the claim on a key; OK means that no attempt holds the key or was executed."""
         self.forget(clock_ms)
         held = self._claims.get(request.key)
         if held is None or held.state == FREE:
@@ -86,7 +87,7 @@
         return self._answer(code, held)
 
     def settle(self, request: SettleRequest, clock_ms: int) -> ClaimAnswer:
-        """Record how an attempt ended; a word on an older attempt changes nothing."""
+        """Record the result of an attempt; results of earlier attempts are rejected."""
         self.forget(clock_ms)
         held = self._claims.get(request.key)
         if held is None:
@@ -100,17 +101,17 @@
         return self._answer(ResultCode.OK, settled)
 
     def forget(self, clock_ms: int) -> None:
-        """Drop expired keys."""
+        """Delete the claims of expired keys."""
         while self._expiries and self._expiries[0][0] <= clock_ms:
             _, key = heapq.heappop(self._expiries)
             self._claims.pop(key, None)
 
     def to_document(self) -> dict:
-        """Return the whole book for a snapshot."""
+        """Return all claims for a snapshot."""
         return {key: list(claim) for key, claim in self._claims.items()}
 
     def load(self, document: dict) -> None:
-        """Replace the book by one from a snapshot."""
+        """Replace all claims with those of a snapshot."""
         self._claims = {}
         for key, fields in document.items():
             expires, state, attempt, owner, target, status, body = fields
--- a/siskinspoke/coordination/configuration.py
+++ b/siskinspoke/coordination/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a process has in force; its version never goes back."""
+"""Active configuration of a process; its version never decreases."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class InForce(NamedTuple):
-    """A configuration, its version, and where it came from."""
+    """A configuration with its version and source."""
 
     version: int
     configuration: Configuration
@@ -19,10 +19,10 @@
 
 
 class ConfigurationHolder:
-    """Hold what is in force; refuse what is older.
+    """Store the active configuration and reject older versions.
 
-    A control replica that lags, or one restarted from an old snapshot, may offer an older
-    version to this process; installing it would undo an accepted change.
+    A control replica that lags, or that restarted from an old snapshot, may offer an older version
+    to this process. Installing it would revert an accepted change.
     """
 
     def __init__(self, configuration: Configuration, document: dict):
@@ -30,11 +30,11 @@
 
     @property
     def current(self) -> InForce:
-        """Return what is in force."""
+        """Return the active configuration."""
         return self._in_force
 
     def install(self, version: int, document: dict, source: str) -> bool:
-        """Put a newer valid configuration in force; False if it is not newer or not valid."""
+        """Activate a configuration; return False if it is not newer or not valid."""
         if version <= self._in_force.version:
             return False
         read = configuration_from(document)
--- a/siskinspoke/coordination/machine.py
+++ b/siskinspoke/coordination/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: configuration and claims, changed only by committed commands."""
+"""Replicated state machine for configuration, claims and orders."""
 
 import hashlib
 from collections import deque
@@ -20,10 +20,10 @@
 
 
 class ConfigureRequest(NamedTuple):
-    """An operator's change: replace ``expect`` by the next version.
+    """An operator's request to replace configuration version ``expect`` with the next version.
 
-    ``order`` names the change: an order that is sent again is answered again and carried out
-    once.
+    ``order`` is an idempotency key: a request that is resent is applied once and gets the same
+    answer again.
     """
 
     order: str
@@ -33,7 +33,7 @@
 
 
 class ConfigureBody(TypedDict):
-    """A change as operators send it; the fields are those of ConfigureRequest."""
+    """Request body of a configuration change; the fields match ConfigureRequest."""
 
     order: str
     operator: str
@@ -42,28 +42,28 @@
 
 
 class ConfigureAnswer(NamedTuple):
-    """Whether a change was accepted, and the version that is accepted now."""
+    """Result of a configuration change and the version that is now current."""
 
     code: int
     version: int
 
 
 class PublishRequest(NamedTuple):
-    """A whole configuration under a number of its sender's; the highest number is in force."""
+    """A complete configuration with a version assigned by the sender; the highest one applies."""
 
     version: int
     document: dict
 
 
 class PublishAnswer(NamedTuple):
-    """The version that is in force, and whether this request put it there."""
+    """The current version and whether this request installed it."""
 
     version: int
     installed: bool
 
 
 class Machine:
-    """Apply committed commands; the same commands give the same state at every replica."""
+    """Apply committed commands in log order, with the same result at every replica."""
 
     def __init__(self) -> None:
         self.claims = ClaimBook()
@@ -75,9 +75,9 @@
         self._patches: deque[dict] = deque(maxlen=MAX_PATCHES)
 
     def patches_since(self, version: int) -> list[dict] | None:
-        """Return the overlays that lead from a version to the present one.
+        """Return the patches from a version to the current one.
 
-        None means that they are not held; the whole document is needed then.
+        None means that they are not available, so that the complete document is needed.
         """
         missing = self.version - version
         if version < 1 or not 0 < missing <= len(self._patches):
@@ -89,8 +89,8 @@
     ) -> ClaimAnswer | ConfigureAnswer | OrderAnswer | PublishAnswer | None:
         """Apply one command and return its answer.
 
-        The leader stamps each command with its wall clock; the highest stamp so far is the
-        clock of the log, which never goes back whatever the VMs' clocks do.
+        The leader adds its wall-clock time to each command. The replicated clock is the highest of
+        these timestamps, so it never goes backward even if the clock of a VM does.
         """
         match entry.kind:
             case "claim":
@@ -138,10 +138,10 @@
         return ConfigureAnswer(int(ResultCode.OK), self.version)
 
     def _publish(self, request: PublishRequest) -> PublishAnswer:
-        """Put a configuration in force unless one of the same or a higher number is.
+        """Install a configuration unless its version is the current one or older.
 
-        An order that is sent again, or that a later one has overtaken, changes nothing and is
-        answered as before, so that its sender can stop.
+        A request that was resent or superseded changes nothing but is still answered, so that its
+        sender stops retrying.
         """
         if request.version <= self.version:
             return PublishAnswer(self.version, False)
@@ -151,7 +151,7 @@
         return PublishAnswer(self.version, True)
 
     def to_document(self) -> dict:
-        """Return the whole state for a snapshot."""
+        """Return the complete state for a snapshot."""
         return {
             "claims": self.claims.to_document(),
             "engine_orders": self.orders.to_document(),
@@ -162,7 +162,7 @@
         }
 
     def load(self, state: dict) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.claims.load(state["claims"])
         self.orders.load(state["engine_orders"])
         self.version = state["version"]
@@ -173,6 +173,6 @@
 
 
 def _digest(request: ConfigureRequest) -> str:
-    """Return what tells two uses of one order id apart."""
+    """Return a digest that detects the reuse of an order id for a different change."""
     content: Any = (request.expect, request.document)
     return hashlib.blake2b(msgspec.json.encode(content, order="sorted"), digest_size=16).hexdigest()
--- a/siskinspoke/coordination/orders.py
+++ b/siskinspoke/coordination/orders.py
@@ -1,9 +1,10 @@
-"""Orders to engines: what is to be done, as replicated state, and when a leader may send it.
+"""Replicated orders to engines, and when a leader may send them.
 
-The number of an order is its place in the log, and so its fencing number: a later one is
-greater, whoever leads.  Engines that check it refuse an older order by themselves.  For those that
-ignore it only time protects: a leader sends under its lease and gives an order up after
-FLIGHT_MS, and a new leader waits that long before its first order to such an engine.
+The number of an order is its log index, which also serves as its fencing token: later orders have
+higher numbers across changes of leader. Engines that check the token reject outdated orders.
+Engines that ignore it are protected by timing alone: a leader sends orders only while it holds a
+lease and abandons an order after FLIGHT_MS, and a new leader waits that long before it sends the
+first order to such an engine.
 """
 
 from typing import NamedTuple, TypedDict
@@ -20,7 +21,7 @@
 
 
 class OrderRequest(NamedTuple):
-    """An operator's order; ``order`` names it, so that a resend is carried out once."""
+    """An operator's order; ``order`` is its idempotency key."""
 
     order: str
     operator: str
@@ -34,7 +35,7 @@
 
 
 class OrderBody(TypedDict):
-    """An order as operators send it; the fields are those of OrderRequest."""
+    """Request body of an order; the fields match OrderRequest."""
 
     order: str
     operator: str
@@ -48,7 +49,7 @@
 
 
 class OrderEnd(NamedTuple):
-    """How an order ended, as its sender saw it."""
+    """Result of an order as reported by the leader that sent it."""
 
     number: int
     done: bool
@@ -56,7 +57,7 @@
 
 
 class OrderAnswer(NamedTuple):
-    """An order's number and state."""
+    """Number and state of an order."""
 
     code: int
     number: int
@@ -65,7 +66,7 @@
 
 
 class OrderRecord(NamedTuple):
-    """One order and how far it is; ``given_ms`` is the log's clock when it was accepted."""
+    """An order and its state; ``given_ms`` is the replicated time at which it was accepted."""
 
     number: int
     given_ms: int
@@ -75,14 +76,14 @@
 
 
 class OrderBook:
-    """Keep orders in the sequence of the log."""
+    """Store orders in log order."""
 
     def __init__(self) -> None:
         self._records: dict[int, OrderRecord] = {}
         self._numbers: dict[str, int] = {}
 
     def give(self, request: OrderRequest, number: int, clock_ms: int) -> OrderAnswer:
-        """Accept an order, or answer for the one of that name."""
+        """Accept an order, or answer for an earlier one with the same idempotency key."""
         known = self._numbers.get(request.order)
         if known is not None:
             same = self._records[known].request == request
@@ -95,7 +96,7 @@
         return self._answer(ResultCode.OK, record)
 
     def end(self, end: OrderEnd) -> OrderAnswer | None:
-        """Record how an order ended; the first word counts."""
+        """Record the result of an order; only the first result counts."""
         record = self._records.get(end.number)
         if record is None:
             return None
@@ -106,7 +107,7 @@
         return self._answer(ResultCode.OK, record)
 
     def find(self, order: str) -> OrderAnswer | None:
-        """Return the state of an order by its name."""
+        """Return the state of the order with an idempotency key."""
         number = self._numbers.get(order)
         return None if number is None else self._answer(ResultCode.OK, self._records[number])
 
@@ -114,7 +115,7 @@
         return OrderAnswer(int(code), record.number, record.state, record.detail)
 
     def pending(self) -> list[OrderRecord]:
-        """Return the first pending order of each server: a server's orders go one by one."""
+        """Return the first pending order of each server; its orders are sent one at a time."""
         firsts: dict[str, OrderRecord] = {}
         for record in self._records.values():
             if record.state == PENDING:
@@ -131,7 +132,7 @@
         return [list(record) for record in self._records.values()]
 
     def load(self, document: list) -> None:
-        """Replace all orders by those of a snapshot."""
+        """Replace all orders with those of a snapshot."""
         records = [
             OrderRecord(number, given, OrderRequest(*request), state, detail)
             for number, given, request, state, detail in document
@@ -141,7 +142,7 @@
 
 
 class OrderGate:
-    """Decide which orders a leader may send now; times are monotonic milliseconds."""
+    """Select the orders that a leader may send; times are monotonic milliseconds."""
 
     def __init__(self, concurrent_loads: int):
         self._concurrent_loads = concurrent_loads
@@ -149,18 +150,19 @@
         self._leads_since: float | None = None
 
     def leadership(self, leads: bool, now: float) -> None:
-        """Note whether this replica leads."""
+        """Record whether this replica is the leader."""
         if not leads:
             self._leads_since = None
         elif self._leads_since is None:
             self._leads_since = now
 
     def choose(self, pending: list[OrderRecord], lease_until: float, now: float):
-        """Return the orders to send now, each once until it lands.
+        """Return the orders to send now; none is returned again while it is in flight.
 
-        Weights come from a store with a rate limit.  Since one leader sends all orders, its count
-        of loads under way bounds all VMs together; a new leader first lets the old one's loads
-        end, so that a failure domain that returns starts no storm.
+        Model weights are loaded from a store with a rate limit. Since a single leader sends all
+        orders, limiting its concurrent loads limits those of all VMs. A new leader first waits for
+        the loads of the previous one to end, so that the return of a failure domain does not
+        trigger a burst of loads.
         """
         if self._leads_since is None or now >= lease_until:
             return []
@@ -182,5 +184,5 @@
         return sum(r.request.action in LOADING_ACTIONS for r in self._flying.values())
 
     def landed(self, number: int) -> None:
-        """Note that an order is no longer under way."""
+        """Record that an order is no longer in flight."""
         self._flying.pop(number, None)
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims as replicated state."""
+"""Tests of replicated claims."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -18,17 +18,17 @@
 
 
 class TestClaim:
-    """One key, several askers."""
+    """Several requests for one key."""
 
     def test_second_asker_is_told_who_holds_it(self):
-        """A clerk resends through another VM while the first attempt runs."""
+        """A client retries through another VM while the first attempt is running."""
         book = ClaimBook()
         assert book.claim(ask(), 0).code == ResultCode.OK
         answer = book.claim(ask(owner="entry-2.1"), 1)
         assert (answer.code, answer.target) == (ResultCode.IN_PROGRESS, TARGET)
 
     def test_same_asker_asks_again(self):
-        """The answer to a claim was lost; the VM asks the new leader."""
+        """The answer to a claim was lost, and the VM retries with the new leader."""
         book = ClaimBook()
         assert book.claim(ask(), 0).attempt == book.claim(ask(), 1).attempt == 1
 
@@ -39,7 +39,7 @@
         assert book.claim(ask(owner="entry-2.1"), 2).attempt == 2
 
     def test_late_word_on_an_old_attempt_changes_nothing(self):
-        """A frozen VM thaws and reports on an attempt that another VM has freed."""
+        """A suspended VM resumes and settles an attempt that another VM has released."""
         book = ClaimBook()
         book.claim(ask(), 0)
         book.settle(SettleRequest("c/k", 1, False, 0, ""), 1)
@@ -63,10 +63,10 @@
 
 
 class TestExpiry:
-    """Forgetting is safe because an expired key is refused."""
+    """Claims of expired keys can be deleted because such keys are rejected."""
 
     def test_expired_key_is_refused_and_forgotten(self):
-        """A resend comes after the key's end; running it could be the second time."""
+        """Guards against a second execution by a retry that arrives after the key has expired."""
         book = ClaimBook()
         book.claim(ask(), 0)
         assert book.claim(ask(owner="entry-2.1"), 5_000).code == ResultCode.KEY_EXPIRED
@@ -85,7 +85,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Any order of claims, settlements and passing time runs each key at most once."""
+    """Each key is executed at most once, whatever the order of claims, results and expiry."""
 
     def __init__(self):
         super().__init__()
--- a/tests/coordination/test_orders.py
+++ b/tests/coordination/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to engines as replicated state, and of when a leader may send them."""
+"""Tests of replicated orders to engines and of when a leader may send them."""
 
 from siskinspoke.coordination.orders import (
     FLIGHT_MS,
@@ -18,7 +18,7 @@
 
 
 def book(*orders):
-    """Return a book with orders in it, numbered from 10."""
+    """Return a store that contains orders, numbered from 10."""
     found = OrderBook()
     for number, item in enumerate(orders, 10):
         found.give(item, number, 0)
@@ -26,14 +26,14 @@
 
 
 def leading_gate(loads=2, since=0.0):
-    """Return the gate of a replica that leads."""
+    """Return the dispatcher of a leader."""
     gate = OrderGate(loads)
     gate.leadership(True, since)
     return gate
 
 
 class TestBook:
-    """Orders race and are sent again."""
+    """Concurrent and resent orders."""
 
     def test_resent_order_keeps_its_number(self):
         found = book(order())
@@ -58,10 +58,10 @@
 
 
 class TestGate:
-    """Engines that ignore fencing numbers are protected by time alone."""
+    """Engines that ignore fencing tokens are protected by timing alone."""
 
     def test_new_leader_waits_where_fencing_is_ignored(self):
-        """The old leader froze with an order on its way; the new one must let it land first."""
+        """Guards against overtaking an order that a suspended former leader has in flight."""
         gate, pending = leading_gate(), book(order(fencing=False)).pending()
         assert gate.choose(pending, FAR, FLIGHT_MS - 1) == []
         assert len(gate.choose(pending, FAR, FLIGHT_MS)) == 1
@@ -70,7 +70,7 @@
         assert len(leading_gate().choose(book(order()).pending(), FAR, 1)) == 1
 
     def test_no_order_without_a_lease(self):
-        """A leader that thaws has lost its lease; it must look at it before it sends."""
+        """Guards against a leader that resumes from a suspension and sends without a lease."""
         gate, pending = leading_gate(), book(order()).pending()
         assert gate.choose(pending, 100.0, 100.0) == []
         gate.leadership(False, 200.0)
