--- a/siskinspoke/coordination/vetting.py
+++ b/siskinspoke/coordination/vetting.py
@@ -1,7 +1,8 @@
-"""Tell announcements of backend servers from what other programs write to the same place.
+"""Validation of backend server announcements.
 
-A foreign announcement that was believed would name a server to which requests go in vain, or
-replace the word of one that is well.  So each is held against what is known already.
+Other programs may write to the address that receives announcements. Accepting a foreign message
+could route requests to a server that does not exist, or replace the announcement of a healthy
+server. Each announcement is therefore checked against the known state.
 """
 
 import ipaddress
@@ -11,28 +12,28 @@
 
 from siskinspoke.protocol.announcements import Announcement
 
-# A server's name goes into the head of each request for it.
+# The server name is sent in a header of each request to the server.
 _NAME = re.compile(r"[A-Za-z0-9._:~-]{1,128}", re.ASCII)
 MOST_PORT = 65_535
 
 
 class AnnouncementFault(Enum):
-    """Why an announcement names no server."""
+    """Reason for which an announcement is rejected."""
 
-    NAME = "the name of the server holds other signs than letters, digits and . _ : ~ -"
-    ADDRESS = "the address is no IP number and port"
-    NUMBER = "the start or the sequence is negative"
-    SERVICE = "no configuration names the service"
-    MOVED = "the server has another service or address since the same start"
+    NAME = "server name is not 1 to 128 letters, digits or characters of . _ : ~ -"
+    ADDRESS = "address is not an IPv4 address with a valid port"
+    NUMBER = "incarnation or sequence number is negative"
+    SERVICE = "service is not part of the configuration"
+    MOVED = "service or address differs from the known one of the same incarnation"
 
 
 def fault_of(
     said: Announcement, known: Announcement | None, services: Set[str] | None
 ) -> AnnouncementFault | None:
-    """Return why an announcement is not believed, or None.
+    """Return why an announcement is rejected, or None if it is accepted.
 
-    ``known`` is the last announcement under the same name; ``services`` are those of the
-    configuration in force, None where there is none yet.
+    ``known`` is the last announcement with the same server name. ``services`` are the services of
+    the active configuration, or None if there is none yet.
     """
     if not _NAME.fullmatch(said.server):
         return AnnouncementFault.NAME
@@ -42,7 +43,8 @@
         return AnnouncementFault.ADDRESS
     same_start = known is not None and known.incarnation == said.incarnation
     if same_start and _place(known) == _place(said):
-        # Also where its service is in no configuration any more: its leave must be heard.
+        # Accept it even if its service is no longer configured, so that the server can still
+        # announce that it is leaving.
         return None
     if services is not None and said.service not in services:
         return AnnouncementFault.SERVICE
@@ -55,7 +57,7 @@
     try:
         ipaddress.IPv4Address(said.host)
     except ValueError:
-        # The caller counts and logs the fault.
+        # The caller counts and logs the rejection.
         return False
     return 0 < said.port <= MOST_PORT
 
--- a/tests/coordination/test_vetting.py
+++ b/tests/coordination/test_vetting.py
@@ -1,4 +1,4 @@
-"""Tests of telling servers' announcements from what other programs write."""
+"""Tests of the validation of backend server announcements."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class TestFaults:
-    """An announcement that names no server is refused for a reason."""
+    """Each invalid announcement is rejected with the matching reason."""
 
     def test_well_formed(self):
         assert fault_of(WELL, None, SERVICES) is None
@@ -36,12 +36,12 @@
 
 
 class TestKnownServers:
-    """What is known of a server is not replaced by a stranger's word on it."""
+    """A foreign announcement does not replace that of a known server."""
 
     def test_other_address_under_the_same_start(self):
-        """Another program announces the name of a server that is well, at its own address.
+        """Guards against requests that go to a foreign program.
 
-        Believed, each request for the server would go to the other program.
+        The program announces the name of a healthy server with its own address.
         """
         stranger = WELL._replace(host="10.0.0.66", seq=99)
         assert fault_of(stranger, WELL, SERVICES) is AnnouncementFault.MOVED
@@ -51,10 +51,13 @@
         assert fault_of(moved, WELL, SERVICES) is None
 
     def test_the_server_itself_after_a_stranger(self):
-        """Before the first configuration nobody could tell that the stranger's service is none."""
+        """Guards against a server locked out by a foreign announcement under its name.
+
+        The announcement was accepted before the first configuration, when services were unknown.
+        """
         stranger = WELL._replace(service="unknown", host="10.0.0.66")
         assert fault_of(WELL, stranger, SERVICES) is None
 
     def test_word_of_a_server_whose_service_is_gone(self):
-        """A configuration drops a service; its servers still say that they leave."""
+        """Guards against ignoring a leaving server whose service was removed."""
         assert fault_of(WELL._replace(leaving=True, seq=6), WELL, {"other"}) is None
