--- a/siskinspoke/state/__init__.py
+++ b/siskinspoke/state/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: files that last only once they are synced."""
+"""Durable state on disk."""
--- a/siskinspoke/state/entry_file.py
+++ b/siskinspoke/state/entry_file.py
@@ -1,8 +1,9 @@
-"""What a control VM keeps on its disk of the entry VMs that follow it.
+"""Persistent list of the entry VMs that follow a control VM.
 
-Entry VMs have no disk, and after a loss of all VMs they know nobody but the seeds.  Until they have
-found each other again each of them chooses engines without knowing what the others have begun.
-The file is a help and no promise: without it they are named as they come.
+Entry VMs have no disk and, after all VMs have failed, know only the seeds. Until they have
+discovered each other again, each chooses engines without knowing which requests the others have
+started. The file only speeds up this discovery: without it, entry VMs are announced to each other
+as they connect.
 """
 
 from pathlib import Path
@@ -18,12 +19,12 @@
 
 
 def save_entries(folder: Path, entries: list[EntryPeer]) -> None:
-    """Replace the file; raise FailureError if the disk refuses."""
+    """Replace the file; raise FailureError on a storage error."""
     write_atomically(folder / ENTRIES_FILE, msgspec.json.encode(entries))
 
 
 def load_entries(folder: Path) -> Result[list[EntryPeer], Failure]:
-    """Return what was kept, nothing where there is no file."""
+    """Return the stored entry VMs, or an empty list if there is no file."""
     read = read_checked(folder / ENTRIES_FILE)
     if read.is_error():
         return Error(read.error)
--- a/siskinspoke/state/files.py
+++ b/siskinspoke/state/files.py
@@ -1,4 +1,4 @@
-"""Replace whole files atomically, with a checksum, and name what the disk refuses."""
+"""Atomic replacement of checksummed files, and error codes for storage failures."""
 
 import errno
 import os
@@ -13,14 +13,14 @@
 
 
 def storage_error(path: Path, error: OSError) -> FailureError:
-    """Return the numbered error for what the disk refused."""
+    """Convert an ``OSError`` to a failure with a result code."""
     full = error.errno in (errno.ENOSPC, errno.EDQUOT)
     code = ResultCode.DISK_FULL if full else ResultCode.DISK_FAILED
     return FailureError(Failure(code, f"{path}: {error.strerror or error}"))
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names in a folder last: a rename alone may be lost with the power."""
+    """Sync the directory entries of a folder; a rename may otherwise be lost in a power failure."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -29,7 +29,7 @@
 
 
 def write_atomically(path: Path, body: bytes) -> None:
-    """Replace a file as a whole; a crash leaves the old content or the new."""
+    """Replace a file atomically: after a crash it has either the old or the new content."""
     temporary = path.with_suffix(path.suffix + ".new")
     try:
         with temporary.open("wb") as file:
@@ -43,7 +43,7 @@
 
 
 def read_checked(path: Path) -> Result[bytes | None, Failure]:
-    """Return a file's body, None where there is no file, or the failure of a damaged one."""
+    """Return the body of a file, None if it does not exist, or an error if it is corrupt."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -52,5 +52,5 @@
         return Error(storage_error(path, error).failure)
     checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
     if checksum != xxhash.xxh64_digest(body):
-        return Error(Failure(ResultCode.JOURNAL_CORRUPT, f"{path}: wrong checksum"))
+        return Error(Failure(ResultCode.JOURNAL_CORRUPT, f"{path}: checksum mismatch"))
     return Ok(body)
--- a/siskinspoke/state/journal.py
+++ b/siskinspoke/state/journal.py
@@ -1,9 +1,9 @@
-"""An append-only journal whose records last once ``append`` has returned.
+"""Append-only journal whose records are durable once ``append`` has returned.
 
-Each frame is a mark, the length of its body, a checksum over length and body, and the body.
-A crash in the middle of a write leaves a torn frame at the very end, which is cut off: its
-record was never answered for.  A damaged frame with a sound one behind it was once synced and
-answered for, so the journal is refused and not shortened.
+Each frame consists of a magic number, the length of its body, a checksum of length and body, and
+the body. A crash during a write leaves an incomplete frame at the end of the file. This frame is
+truncated, since its record was never acknowledged. A corrupt frame that is followed by a valid one
+had been synced and acknowledged, so the journal is rejected instead of truncated.
 """
 
 import os
@@ -24,7 +24,7 @@
 
 
 class Loaded(NamedTuple):
-    """A journal and the bodies of its records."""
+    """An open journal and the bodies of its records."""
 
     journal: "Journal"
     records: list[bytes]
@@ -36,7 +36,7 @@
 
 
 def _read_frame(data: bytes, position: int) -> bytes | None:
-    """Return the body of the sound frame at a position, or None."""
+    """Return the body of the frame at a position, or None if it is not valid."""
     header = data[position : position + HEADER_BYTES]
     if len(header) < HEADER_BYTES or not header.startswith(MARK):
         return None
@@ -49,7 +49,7 @@
 
 
 def _frames(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yield the end and body of each sound frame from the start on."""
+    """Yield the end position and body of each frame up to the first invalid one."""
     position = 0
     while (body := _read_frame(data, position)) is not None:
         position += HEADER_BYTES + len(body)
@@ -57,7 +57,7 @@
 
 
 def _sound_frame_after(data: bytes, position: int) -> bool:
-    """Tell whether any sound frame begins after a position."""
+    """Return whether a valid frame starts anywhere after a position."""
     found = data.find(MARK, position + 1)
     while found >= 0:
         if _read_frame(data, found) is not None:
@@ -67,17 +67,17 @@
 
 
 class Journal:
-    """Own the file that records are appended to."""
+    """Append records to a journal file."""
 
     def __init__(self, path: Path):
         self._path = path
         self._file = path.open("ab")
 
     def append(self, bodies: Iterable[bytes]) -> None:
-        """Write records and sync them; raise FailureError if the disk refuses.
+        """Write records and sync them; raise FailureError on a storage error.
 
-        After a failed sync the kernel may have dropped the pages, so a later sync that
-        succeeds proves nothing: the owner must stop and not try again.
+        The caller must stop and not retry after an error: the kernel may have discarded the dirty
+        pages after a failed sync, so a later successful sync would not show that they are durable.
         """
         try:
             self._file.write(b"".join(_frame(body) for body in bodies))
@@ -87,7 +87,7 @@
             raise storage_error(self._path, error) from error
 
     def rewrite(self, bodies: Iterable[bytes]) -> None:
-        """Replace the whole journal; a crash leaves the old one or the new one."""
+        """Replace the journal atomically: a crash leaves either the old or the new one."""
         temporary = self._path.with_suffix(".new")
         try:
             with temporary.open("wb") as file:
@@ -107,16 +107,16 @@
 
 
 def open_journal(path: Path) -> Result[Loaded, Failure]:
-    """Open or create a journal and return its records, cutting off a torn end."""
+    """Open or create a journal, truncate an incomplete frame at its end, and return its records."""
     try:
         existed = path.exists()
         data = path.read_bytes() if existed else b""
         end, records = 0, []
-        for end, body in _frames(data):  # noqa: B007  (the last end is used below)
+        for end, body in _frames(data):  # noqa: B007  (used after the loop)
             records.append(body)
         if end < len(data):
             if _sound_frame_after(data, end):
-                message = f"{path}: damaged at byte {end} with sound records behind it"
+                message = f"{path}: corrupt frame at byte {end} is followed by valid frames"
                 return Error(Failure(ResultCode.JOURNAL_CORRUPT, message))
             with path.open("rb+") as file:
                 file.truncate(end)
--- a/siskinspoke/state/replica_store.py
+++ b/siskinspoke/state/replica_store.py
@@ -1,4 +1,4 @@
-"""What a control replica keeps in its data folder: identity and journal.
+"""Data folder of a control replica, which contains its identity and journal.
 
 The snapshot, if any, is the first record of the journal. Earlier versions stored it in a separate
 file, which is still read if the journal contains no snapshot.
@@ -30,18 +30,18 @@
 
 
 class ReplicaStore:
-    """Own the data folder of one control replica."""
+    """Write the data folder of one control replica."""
 
     def __init__(self, folder: Path, journal: Journal):
         self._folder = folder
         self._journal = journal
 
     def save_identity(self, identity: Identity) -> None:
-        """Write whose folder this is."""
+        """Store the identity of the replica that owns the folder."""
         write_atomically(self._folder / IDENTITY_FILE, msgspec.json.encode(identity))
 
     def append(self, records: list[Record]) -> None:
-        """Make records last."""
+        """Append records to the journal and sync them."""
         self._journal.append(encode_message(record) for record in records)
 
     def save_snapshot(self, snapshot: Snapshot, records: list[Record]) -> None:
@@ -69,7 +69,7 @@
         return None
     identity = msgspec.json.decode(body, type=Identity)
     if identity.name != name:
-        message = f"{folder}: is the folder of {identity.name}, not of {name}"
+        message = f"{folder}: data folder belongs to {identity.name}, not to {name}"
         raise FailureError(Failure(ResultCode.FOREIGN_FOLDER, message))
     return identity
 
@@ -90,13 +90,13 @@
         snapshot = None if body is None else _decode(body, folder / SNAPSHOT_FILE)
     restored = restored_from(identity, snapshot, records)
     if identity is None and (restored.entries or restored.snapshot is not None):
-        message = f"{folder}: a log without an identity; empty the folder to start anew"
+        message = f"{folder}: log without an identity; empty the folder to start as a new replica"
         raise FailureError(Failure(ResultCode.JOURNAL_CORRUPT, message))
     return restored
 
 
 def open_store(path: str, name: str) -> Result[tuple[ReplicaStore, Restored], Failure]:
-    """Open a data folder and return what its replica had promised."""
+    """Open or create a data folder and return its store and the replica's restored state."""
     folder = Path(path)
     try:
         folder.mkdir(parents=True, exist_ok=True)
--- a/siskinspoke/state/server_file.py
+++ b/siskinspoke/state/server_file.py
@@ -1,7 +1,7 @@
-"""What a control VM keeps on its disk of the backend servers that it has heard of.
+"""Persistent list of the backend servers known to a control VM.
 
-It is a help and no promise: servers announce themselves again anyway.  After a loss of all
-control VMs it spares callers the time until they have.
+The list is only an optimization, since servers announce themselves repeatedly. After all control
+VMs have failed, it spares callers the wait until the next announcements arrive.
 """
 
 from pathlib import Path
@@ -19,21 +19,21 @@
 
 
 def save_servers(folder: Path, announcements: list[Announcement]) -> None:
-    """Replace the file; raise FailureError if the disk refuses."""
+    """Replace the file; raise FailureError on a storage error."""
     write_atomically(folder / SERVERS_FILE, msgspec.json.encode(announcements))
 
 
 class KeptServers(NamedTuple):
-    """The servers that a file holds, and how many of its entries name none."""
+    """The announcements stored in a file, and the number of invalid entries."""
 
     announcements: list[Announcement]
     unread: int
 
 
 def load_servers(folder: Path) -> Result[KeptServers, Failure]:
-    """Return what was kept, nothing where there is no file.
+    """Return the stored announcements, or none if there is no file.
 
-    An entry that cannot be read takes no other with it.
+    Invalid entries are skipped and counted.
     """
     read = read_checked(folder / SERVERS_FILE)
     if read.is_error():
@@ -50,6 +50,6 @@
     try:
         announcement = msgspec.json.decode(entry, type=Announcement)
     except msgspec.MsgspecError:
-        # The reader of the file logs how many there were.
+        # The caller logs the number of invalid entries.
         return None
     return None if fault_of(announcement, None, None) else announcement
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of the journal and of whole-file replacement."""
+"""Tests of the journal and of atomic file replacement."""
 
 from pathlib import Path
 
@@ -20,9 +20,9 @@
 
 
 class TestTornEnd:
-    """A VM loses its power in the middle of a write.
+    """A power failure during a write must not lose earlier records.
 
-    The last record was never answered for; all before it must still be there.
+    The last record was never acknowledged and may be lost.
     """
 
     def test_any_cut_keeps_the_records_before_it(self, tmp_path):
@@ -43,9 +43,9 @@
 
 
 class TestDamage:
-    """A disk returns wrong bytes in the middle of what was synced and answered for.
+    """Corruption of records that were synced and acknowledged must be detected.
 
-    Shortening the journal there would silently revert accepted changes.
+    Truncating the journal at the damage would silently revert accepted changes.
     """
 
     def test_damaged_middle_is_refused(self, tmp_path):
@@ -68,7 +68,7 @@
 
 
 class TestRefusingDisk:
-    """The disk is full or read-only: the record must not count as kept."""
+    """A record must not count as durable if the disk is full or read-only."""
 
     def test_full_disk_has_its_own_code(self):
         journal = Journal(Path("/dev/full"))
@@ -82,7 +82,7 @@
 
 
 class TestRewrite:
-    """Compaction replaces the journal as a whole."""
+    """Compaction replaces the complete journal."""
 
     def test_appends_go_to_the_new_file(self, tmp_path):
         path = tmp_path / "journal"
--- a/tests/state/test_replica_store.py
+++ b/tests/state/test_replica_store.py
@@ -1,4 +1,4 @@
-"""Tests of what a control replica finds in its data folder."""
+"""Tests of the data folder of a control replica."""
 
 import contextlib
 import os
@@ -15,7 +15,7 @@
 
 
 class TestOpenStore:
-    """Restarts of a replica."""
+    """Restart of a replica."""
 
     def test_everything_comes_back(self, tmp_path):
         store, empty = open_store(str(tmp_path), "control-a").ok
@@ -35,14 +35,14 @@
         assert restored.admitted == (Admitted("control-c", 9, 2),)
 
     def test_folder_of_another_vm_is_refused(self, tmp_path):
-        """An operator mounts the wrong disk; two replicas would vote with one memory."""
+        """Guards against a wrongly mounted disk, with which two replicas would share one state."""
         store, _ = open_store(str(tmp_path), "control-a").ok
         store.save_identity(Identity("control-a", 1))
         store.close()
         assert open_store(str(tmp_path), "control-b").error.code is ResultCode.FOREIGN_FOLDER
 
     def test_log_without_identity_is_refused(self, tmp_path):
-        """Half a folder was restored: votes may be missing, so the replica must not vote."""
+        """Guards against votes by a replica whose votes were lost in a partial restore."""
         store, _ = open_store(str(tmp_path), "control-a").ok
         store.append([Entry(1, 1, "noop", None)])
         store.close()
--- a/tests/state/test_server_file.py
+++ b/tests/state/test_server_file.py
@@ -1,4 +1,4 @@
-"""Tests of the list of servers that a control VM keeps."""
+"""Tests of the persistent list of backend servers."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class TestServerFile:
-    """The list is a help: without it, or with a damaged one, a VM starts with none."""
+    """The list is optional: if it is missing or corrupt, a VM starts without known servers."""
 
     def test_comes_back(self, tmp_path):
         known = [announcement(number, 3, "sala-a") for number in range(4)]
@@ -19,7 +19,7 @@
         assert load_servers(tmp_path).ok.announcements == []
 
     def test_entry_that_names_no_server(self, tmp_path):
-        """An entry has lost a field, another holds a name that no server has; two are well."""
+        """Invalid entries are counted and skipped: a missing field, an invalid name, a number."""
         well = [announcement(number, 3, "sala-a") for number in range(2)]
         entries = [list(msgspec.to_builtins(item)) for item in well]
         short = entries[0][:4]
