--- a/siskinspoke/coordination/election_timer.py
+++ b/siskinspoke/coordination/election_timer.py
@@ -12,7 +12,7 @@
 from siskinspoke.coordination.replica_types import Times
 
 # A reply waits for one event loop iteration on each side, and for an iteration in progress.
-TURNS_PER_REPLY = 3.0
+LOOP_ITERATIONS_PER_REPLY = 3.0
 # A voter's sync may queue behind one in progress, and its disk may be slower than the local one.
 SYNCS_PER_VOTE = 3.0
 ROUND_TRIPS_PER_REPLY = 2.0
@@ -35,17 +35,19 @@
 
     def follower_timeout(self, now: float) -> float:
         """Return the randomized time without a message from a leader before an election starts."""
-        return self._randomize(self._clamp(TURNS_PER_REPLY * self.turn_delays.second_longest(now)))
+        return self._randomize(
+            self._clamp(LOOP_ITERATIONS_PER_REPLY * self.turn_delays.second_longest(now))
+        )
 
     def vote_timeout(self, now: float) -> float:
         """Return the randomized time to wait for an election result once the vote is durable."""
-        turns = TURNS_PER_REPLY * self.turn_delays.second_longest(now)
+        turns = LOOP_ITERATIONS_PER_REPLY * self.turn_delays.second_longest(now)
         syncs = SYNCS_PER_VOTE * self.sync_durations.longest(now)
         return self._randomize(self._clamp(turns + syncs) * self._backoff)
 
     def leader_timeout(self, now: float) -> float:
         """Return the time without replies from a majority after which a leader steps down."""
-        turns = TURNS_PER_REPLY * self.turn_delays.second_longest(now)
+        turns = LOOP_ITERATIONS_PER_REPLY * self.turn_delays.second_longest(now)
         round_trips = ROUND_TRIPS_PER_REPLY * self.round_trips.second_longest(now)
         return self._clamp(max(turns, round_trips))
 
--- a/siskinspoke/coordination/founding.py
+++ b/siskinspoke/coordination/founding.py
@@ -4,9 +4,9 @@
 
 from siskinspoke.protocol.replication import Introduce, IntroduceReply
 
-FOUNDER = 1
-HIGHEST_INCARNATION = 2**62
-INTRODUCE_MS = 200.0
+FOUNDER_INCARNATION = 1
+MAX_INCARNATION = 2**62
+INTRODUCE_INTERVAL_MS = 200.0
 
 
 def new_incarnation(rng: random.Random) -> int:
@@ -14,10 +14,10 @@
 
     A collision with another disk is possible but negligibly unlikely.
     """
-    return rng.randrange(FOUNDER + 1, HIGHEST_INCARNATION)
+    return rng.randrange(FOUNDER_INCARNATION + 1, MAX_INCARNATION)
 
 
-class Founding:
+class Bootstrap:
     """Query the other replicas; become a founder if all are new, join the group otherwise.
 
     A replica may use the founders' incarnation only if it cannot have voted before. If it had, the
@@ -26,25 +26,25 @@
     """
 
     def __init__(self, name: str, peers: list[str], rng: random.Random, now: float):
-        self.next_question_at = now
+        self.next_query_at = now
         self._name = name
         self._peers = peers
         self._rng = rng
-        self._run = rng.randrange(HIGHEST_INCARNATION)
-        self._fresh: set[str] = set()
+        self._run = rng.randrange(MAX_INCARNATION)
+        self._fresh_peers: set[str] = set()
 
-    def questions(self, now: float) -> list[tuple[str, Introduce]]:
+    def due_queries(self, now: float) -> list[tuple[str, Introduce]]:
         """Return the queries that are due, each with its recipient."""
-        if now < self.next_question_at:
+        if now < self.next_query_at:
             return []
-        self.next_question_at = now + INTRODUCE_MS
+        self.next_query_at = now + INTRODUCE_INTERVAL_MS
         return [(peer, Introduce(self._name, self._run)) for peer in self._peers]
 
-    def hear(self, reply: IntroduceReply) -> int | None:
+    def handle_reply(self, reply: IntroduceReply) -> int | None:
         """Process a reply and return the incarnation of this replica once it is known."""
         if reply.run != self._run:
             return None
         if not reply.fresh:
             return new_incarnation(self._rng)
-        self._fresh.add(reply.sender)
-        return FOUNDER if self._fresh == set(self._peers) else None
+        self._fresh_peers.add(reply.sender)
+        return FOUNDER_INCARNATION if self._fresh_peers == set(self._peers) else None
--- a/siskinspoke/coordination/membership.py
+++ b/siskinspoke/coordination/membership.py
@@ -12,14 +12,14 @@
 from siskinspoke.protocol.replication import Admitted, Entry
 
 FOUND, ADD, REMOVE, ADMIT = "found", "add-member", "remove-member", "admit"
-KINDS = frozenset({FOUND, ADD, REMOVE, ADMIT})
+MEMBERSHIP_KINDS = frozenset({FOUND, ADD, REMOVE, ADMIT})
 # Time without contact after which a group of even size removes a member: four times the longest
 # election timeout in use, so that an election or a slow disk does not cause a removal.
-SILENT_MS = 2_500.0
+MEMBER_TIMEOUT_MS = 2_500.0
 # With only two members, the loss of a single disk could not be tolerated.
-LEAST_MEMBERS = 3
+MIN_MEMBERS = 3
 # Time without a join request after which a learner is discarded: five times JOIN_INTERVAL_MS.
-LEARNER_MS = 1_000.0
+LEARNER_TIMEOUT_MS = 1_000.0
 
 
 class Membership:
@@ -29,7 +29,7 @@
         self._base = dict(founders)
         self._admitted: dict[str, Admitted] = {}
         self._current = dict(founders)
-        self._seen: list[Entry] = []
+        self._entries: list[Entry] = []
 
     @property
     def current(self) -> dict[str, int]:
@@ -49,27 +49,27 @@
             for name, item in self._admitted.items()
             if members.get(name) == item.incarnation
         }
-        self._seen = []
-        self._current = self._derive(self._seen)
+        self._entries = []
+        self._current = self._derive(self._entries)
 
-    def follow(self, log: ReplicatedLog) -> None:
+    def update(self, log: ReplicatedLog) -> None:
         """Update the members after the log has changed."""
-        seen = _changes(log, log.last_index)
-        if seen != self._seen:
-            self._seen = seen
-            self._current = self._derive(seen)
+        entries = _membership_entries(log, log.last_index)
+        if entries != self._entries:
+            self._entries = entries
+            self._current = self._derive(entries)
 
     def admit(self, item: Admitted) -> bool:
         """Admit a replaced disk; return False if it is admitted already or not a member's."""
         if self._current.get(item.name) in (None, item.incarnation):
             return False
         self._admitted[item.name] = item
-        self._current = self._derive(self._seen)
+        self._current = self._derive(self._entries)
         return True
 
     def at(self, log: ReplicatedLog, index: int) -> dict[str, int]:
         """Return the members as of a committed index."""
-        return self._derive(_changes(log, index))
+        return self._derive(_membership_entries(log, index))
 
     def _derive(self, entries: list[Entry]) -> dict[str, int]:
         members = dict(self._base)
@@ -96,47 +96,49 @@
             members[name] = entry.body["incarnation"]
 
 
-def _changes(log: ReplicatedLog, last: int) -> list[Entry]:
+def _membership_entries(log: ReplicatedLog, last: int) -> list[Entry]:
     """Return the membership entries up to an index."""
-    return [entry for entry in log.between(log.base_index + 1, last) if entry.kind in KINDS]
+    return [
+        entry for entry in log.between(log.base_index + 1, last) if entry.kind in MEMBERSHIP_KINDS
+    ]
 
 
 class Learners:
     """Replicas that requested to join and are catching up with this leader."""
 
     def __init__(self) -> None:
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
     @property
     def names(self) -> list[str]:
         """Return the names of all learners."""
-        return list(self._asked_at)
+        return list(self._requested_at)
 
-    def asked(self, name: str, now: float) -> None:
+    def record_request(self, name: str, now: float) -> None:
         """Record the time of a join request, adding the learner if it is new."""
-        self._asked_at[name] = now
+        self._requested_at[name] = now
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a learner."""
-        self._asked_at.pop(name, None)
+        self._requested_at.pop(name, None)
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove learners that no longer send join requests."""
-        for name, at in list(self._asked_at.items()):
-            if now - at > LEARNER_MS:
-                del self._asked_at[name]
+        for name, at in list(self._requested_at.items()):
+            if now - at > LEARNER_TIMEOUT_MS:
+                del self._requested_at[name]
 
 
-def may_drop(silent: Mapping[str, float], size: int, now: float) -> str | None:
+def member_to_remove(last_heard: Mapping[str, float], size: int, now: float) -> str | None:
     """Return the member to remove, if any.
 
-    ``silent`` maps each other member to the time of its last message. Only a group of even size
+    ``last_heard`` maps each other member to the time of its last message. Only a group of even size
     removes a member: its majority shrinks by one too, so it tolerates as many failures among the
     remaining members as before, and it gives up no more copies than the smaller majority allows.
     A group of odd size would gain nothing. A removed member that becomes reachable again sends a
     join request.
     """
-    if size % 2 or size <= LEAST_MEMBERS or not silent:
+    if size % 2 or size <= MIN_MEMBERS or not last_heard:
         return None
-    name = min(silent, key=silent.__getitem__)
-    return name if now - silent[name] > SILENT_MS else None
+    name = min(last_heard, key=last_heard.__getitem__)
+    return name if now - last_heard[name] > MEMBER_TIMEOUT_MS else None
--- a/siskinspoke/coordination/replica/__init__.py
+++ b/siskinspoke/coordination/replica/__init__.py
@@ -23,10 +23,10 @@
 
 from typing import Any
 
-from siskinspoke.coordination.replica.elections import Electing
-from siskinspoke.coordination.replica.following import Following
-from siskinspoke.coordination.replica.leading import Leading
-from siskinspoke.coordination.replica.members import MembershipChanges
+from siskinspoke.coordination.replica.elections import ElectionMixin
+from siskinspoke.coordination.replica.following import FollowerMixin
+from siskinspoke.coordination.replica.leading import LeaderMixin
+from siskinspoke.coordination.replica.members import MembershipMixin
 from siskinspoke.coordination.replica_types import Role, SyncMark
 from siskinspoke.protocol.replication import (
     Append,
@@ -43,18 +43,18 @@
 __all__ = ["Replica"]
 
 
-class Replica(MembershipChanges, Electing, Leading, Following):
+class Replica(MembershipMixin, ElectionMixin, LeaderMixin, FollowerMixin):
     """Raft state machine of one control replica; times are in monotonic milliseconds."""
 
     def next_wake(self) -> float:
         """Return the time by which ``tick`` must be called next."""
-        due = self._next_due()
-        return due if self._contacts is None else min(due, self._join_at)
+        due = self._next_timer()
+        return due if self._join_targets is None else min(due, self._next_join_at)
 
-    def _next_due(self) -> float:
+    def _next_timer(self) -> float:
         match self.role:
             case Role.NEW:
-                return self._founding.next_question_at
+                return self._bootstrap.next_query_at
             case Role.LEADER:
                 return self._heartbeat_at
             case _:
@@ -62,17 +62,17 @@
 
     def tick(self, now: float) -> None:
         """Process expired timers."""
-        self._ask_to_join(now)
+        self._request_join(now)
         match self.role:
             case Role.NEW:
-                self._introduce(now)
+                self._tick_bootstrap(now)
             case Role.LEADER:
-                self._lead(now)
+                self._tick_leader(now)
             case _ if now >= self._election_at:
                 self._report_lost_election()
-                if self.role is Role.CANDIDATE and not self._trial:
+                if self.role is Role.CANDIDATE and not self._pre_vote:
                     self.timer.increase_backoff()
-                self._stand(now, trial=True)
+                self._start_election(now, pre_vote=True)
 
     def synced(self, mark: SyncMark, now: float) -> None:
         """Handle the completed sync of all outputs up to ``mark``."""
@@ -84,28 +84,28 @@
             case Role.FOLLOWER:
                 self._acknowledge_durable()
 
-    def receive(self, item: Any, now: float) -> None:
+    def receive(self, message: Any, now: float) -> None:
         """Handle one message from another replica."""
-        match item:
+        match message:
             case Introduce():
-                reply = IntroduceReply(self.name, item.run, self.fresh)
-                self._out.sends.append((item.sender, reply))
+                reply = IntroduceReply(self.name, message.run, self.fresh)
+                self._out.sends.append((message.sender, reply))
             case IntroduceReply():
-                self._on_introduce_reply(item, now)
+                self._on_introduce_reply(message, now)
             case _ if self.role is Role.NEW:
                 return
             case VoteRequest():
-                self._on_vote_request(item, now)
+                self._on_vote_request(message, now)
             case VoteReply():
-                self._on_vote_reply(item, now)
+                self._on_vote_reply(message, now)
             case Append():
-                self._on_append(item, now)
+                self._on_append(message, now)
             case AppendReply():
-                self._on_append_reply(item, now)
+                self._on_append_reply(message, now)
             case Install():
-                self._on_install(item, now)
+                self._on_install(message, now)
             case Join():
-                self._on_join(item, now)
+                self._on_join(message, now)
             case Handover(sender=sender, term=term):
                 if term == self.term and sender == self.leader:
-                    self._stand(now, trial=False, handover=True)
+                    self._start_election(now, pre_vote=False, handover=True)
--- a/siskinspoke/coordination/replica/core.py
+++ b/siskinspoke/coordination/replica/core.py
@@ -5,7 +5,7 @@
 
 from siskinspoke.coordination.election_timer import ElectionTimer
 from siskinspoke.coordination.followers import Followers
-from siskinspoke.coordination.founding import FOUNDER, Founding
+from siskinspoke.coordination.founding import FOUNDER_INCARNATION, Bootstrap
 from siskinspoke.coordination.membership import ADMIT, Learners, Membership
 from siskinspoke.coordination.replica_types import (
     AskPeers,
@@ -44,30 +44,30 @@
         self.snapshot = restored.snapshot
         self.log = ReplicatedLog()
         self._start = start
-        self._membership = Membership(dict.fromkeys(members, FOUNDER))
+        self._membership = Membership(dict.fromkeys(members, FOUNDER_INCARNATION))
         self._learners = Learners()
-        self._contacts: tuple[str, ...] | None = None
-        self._join_at = now
+        self._join_targets: tuple[str, ...] | None = None
+        self._next_join_at = now
         self._voted_for = restored.hard.voted_for
         self._times = times
         self._rng = rng
         self.timer = ElectionTimer(times, rng)
         self._followers: Followers | None = None
         self._votes: set[str] = set()
-        self._trial_votes: set[str] = set()
+        self._pre_votes: set[str] = set()
         self._candidate_term = -1
         self._pending_vote_output = 0
         self._vote_durable_at = -math.inf
         self._refusals: dict[str, str] = {}
-        self._trial = False
-        self._founding = Founding(name, [item for item in members if item != name], rng, now)
+        self._pre_vote = False
+        self._bootstrap = Bootstrap(name, [item for item in members if item != name], rng, now)
         self._heartbeat_at = now
         self._leader_heard_at = now
         self._out = Output()
         self._output_count = 0
         self._restore(restored)
         self._durable_index = self.log.last_index
-        self._rearm(now)
+        self._reset_election_timer(now)
 
     def _restore(self, restored: Restored) -> None:
         if restored.snapshot is not None:
@@ -76,7 +76,7 @@
             self.commit = restored.snapshot.index
         for entry in restored.entries:
             self.log.put(entry)
-        self._membership.follow(self.log)
+        self._membership.update(self.log)
         for item in restored.admitted:
             self._membership.admit(item)
             self._commit_to(min(item.index, self.log.last_index))
@@ -96,7 +96,7 @@
 
         Membership changes are enabled only if this has been called.
         """
-        self._contacts = names
+        self._join_targets = names
 
     @property
     def leader_heard_at(self) -> float:
@@ -106,21 +106,23 @@
     @property
     def admitted(self) -> bool:
         """Return whether this replica's votes and acknowledgements count."""
-        return self.identity is not None and self._counts(self.name, self.identity.incarnation)
+        return self.identity is not None and self._is_voting_member(
+            self.name, self.identity.incarnation
+        )
 
     @property
     def fresh(self) -> bool:
         """Return whether this replica may be a founder and has neither a term nor a log."""
-        founder = self.identity is None or self.identity.incarnation == FOUNDER
+        founder = self.identity is None or self.identity.incarnation == FOUNDER_INCARNATION
         return founder and self.term == 0 and self.log.last_index == 0
 
-    def _counts(self, name: str, incarnation: int) -> bool:
+    def _is_voting_member(self, name: str, incarnation: int) -> bool:
         return self.members.get(name) == incarnation
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.members)
 
-    def _rearm(self, now: float) -> None:
+    def _reset_election_timer(self, now: float) -> None:
         self._pending_vote_output = 0
         self._election_at = now + self.timer.follower_timeout(now)
 
@@ -164,9 +166,9 @@
         self.role = Role.FOLLOWER
         self.leader = None
         self._votes.clear()
-        self._trial_votes.clear()
+        self._pre_votes.clear()
         self._candidate_term = -1
-        self._rearm(now)
+        self._reset_election_timer(now)
 
     def _commit_to(self, index: int) -> None:
         for entry in self.log.between(self.commit + 1, index):
@@ -198,5 +200,5 @@
         self.snapshot = snapshot
         self.log.compact(index)
         self._membership.reset(members)
-        self._membership.follow(self.log)
+        self._membership.update(self.log)
         return snapshot
--- a/siskinspoke/coordination/replica/elections.py
+++ b/siskinspoke/coordination/replica/elections.py
@@ -5,20 +5,20 @@
 from siskinspoke.protocol.replication import VoteReply, VoteRequest
 
 
-class Electing(ReplicaCore):
+class ElectionMixin(ReplicaCore):
     """Start elections, answer vote requests and count votes."""
 
-    def _stand(self, now: float, trial: bool, handover: bool = False) -> None:
+    def _start_election(self, now: float, pre_vote: bool, handover: bool = False) -> None:
         """Start a pre-vote if ``trial`` is set, otherwise an election in the next term."""
-        self._rearm(now)
+        self._reset_election_timer(now)
         if not self.admitted:
             return
         self.role = Role.CANDIDATE
         self.leader = None
-        self._trial = trial
+        self._pre_vote = pre_vote
         self._refusals.clear()
-        if trial:
-            self._trial_votes = {self.name}
+        if pre_vote:
+            self._pre_votes = {self.name}
         else:
             self._set_term(self.term + 1, self.name)
             self._candidate_term = self.term
@@ -27,17 +27,17 @@
         request = VoteRequest(
             self.name,
             self.identity.incarnation,
-            self.term + trial,
+            self.term + pre_vote,
             self.log.last_index,
             self.log.last_term,
-            trial,
+            pre_vote,
             self.commit,
             self.log.term_at(self.commit),
             handover,
         )
         # The candidate's vote for itself must be durable before it requests others. Otherwise
         # it could vote for another candidate in the same term after a crash.
-        sends = self._out.sends if trial else self._out.sends_after_sync
+        sends = self._out.sends if pre_vote else self._out.sends_after_sync
         sends.extend((peer, request) for peer in self._peers)
         self._count_votes(now)
 
@@ -45,11 +45,11 @@
         """Report the current election as lost if this replica is a candidate."""
         if self.role is not Role.CANDIDATE:
             return
-        votes = self._trial_votes if self._trial else self._votes
+        votes = self._pre_votes if self._pre_vote else self._votes
         answered = votes | self._refusals.keys()
         election = LostElection(
-            self.term + self._trial,
-            self._trial,
+            self.term + self._pre_vote,
+            self._pre_vote,
             sorted(votes),
             dict(self._refusals),
             [peer for peer in self._peers if peer not in answered],
@@ -59,10 +59,10 @@
     def _count_votes(self, now: float) -> None:
         if self._candidate_term == self.term and self._is_majority(len(self._votes)):
             self._become_leader(now)
-        elif self._trial and self._is_majority(len(self._trial_votes)):
-            self._stand(now, trial=False)
+        elif self._pre_vote and self._is_majority(len(self._pre_votes)):
+            self._start_election(now, pre_vote=False)
 
-    def _learn_commit(self, index: int, term: int) -> None:
+    def _adopt_commit(self, index: int, term: int) -> None:
         """Advance the commit index to that of another replica if the logs match there.
 
         After a disk is replaced, a single replica may know that its ``admit`` entry is committed.
@@ -72,7 +72,7 @@
             self._commit_to(index)
 
     def _on_vote_request(self, request: VoteRequest, now: float) -> None:
-        self._learn_commit(request.commit, request.commit_term)
+        self._adopt_commit(request.commit, request.commit_term)
         may_violate_lease = self._may_violate_lease(request, now)
         if request.term > self.term and not request.trial and not may_violate_lease:
             self._set_term(request.term)
@@ -103,8 +103,8 @@
         The voter does not check disk incarnations. A candidate starts an election only if its own
         disk is admitted, and counts only votes from disks whose admission it knows to be committed.
         """
-        mine = (self.log.last_term, self.log.last_index)
-        if (request.last_term, request.last_index) < mine:
+        own_position = (self.log.last_term, self.log.last_index)
+        if (request.last_term, request.last_index) < own_position:
             return Refusal.LOG
         if request.trial:
             if request.term <= self.term:
@@ -136,7 +136,7 @@
         return now - max(self._leader_heard_at, self._vote_durable_at) >= self._times.election_ms
 
     def _on_vote_reply(self, reply: VoteReply, now: float) -> None:
-        self._learn_commit(reply.commit, reply.commit_term)
+        self._adopt_commit(reply.commit, reply.commit_term)
         if reply.own_term > self.term:
             # Adopt the voter's term. Otherwise, of two replicas, the one with the longer log could
             # be refused for its lower term and the other for its log, so neither would ever lead.
@@ -147,10 +147,10 @@
             return
         if self.role is not Role.CANDIDATE or reply.term != self.term + reply.trial:
             return
-        counts = self._counts(reply.sender, reply.incarnation)
+        counts = self._is_voting_member(reply.sender, reply.incarnation)
         if reply.granted and counts:
             # A vote stays valid throughout its term, even after the next pre-vote has started.
-            (self._trial_votes if reply.trial else self._votes).add(reply.sender)
+            (self._pre_votes if reply.trial else self._votes).add(reply.sender)
             self._count_votes(now)
-        elif reply.trial == self._trial:
+        elif reply.trial == self._pre_vote:
             self._refusals[reply.sender] = Refusal.DISK if reply.granted else reply.refusal
--- a/siskinspoke/coordination/replica/following.py
+++ b/siskinspoke/coordination/replica/following.py
@@ -16,12 +16,12 @@
     sent_at: float
 
 
-class Following(ReplicaCore):
+class FollowerMixin(ReplicaCore):
     """Handle messages from the leader of the current term."""
 
     _matched: MatchedPrefix | None = None
 
-    def _hear_leader(self, sender: str, term: int, now: float) -> bool:
+    def _accept_leader(self, sender: str, term: int, now: float) -> bool:
         """Follow the sender; return False if its term is outdated."""
         if term < self.term:
             return False
@@ -32,19 +32,19 @@
         self.leader = sender
         self._leader_heard_at = now
         self.timer.reset_backoff()
-        self._rearm(now)
+        self._reset_election_timer(now)
         return True
 
-    def _refuse(self, to: Append | Install, next_match: int) -> None:
-        self._reply(to.sender, False, next_match, to.sent_at, 0)
+    def _reject(self, request: Append | Install, next_match: int) -> None:
+        self._reply(request.sender, False, next_match, request.sent_at, 0)
 
-    def _accept(self, to: Append | Install, index: int) -> None:
+    def _accept(self, request: Append | Install, index: int) -> None:
         """Acknowledge that the log matches up to ``index``, and how much of it is durable.
 
         The reply does not wait for a sync, so that a slow disk does not depose the leader.
         """
-        self._matched = MatchedPrefix(to.sender, to.term, index, to.sent_at)
-        self._reply(to.sender, True, min(index, self._durable_index), to.sent_at, index)
+        self._matched = MatchedPrefix(request.sender, request.term, index, request.sent_at)
+        self._reply(request.sender, True, min(index, self._durable_index), request.sent_at, index)
 
     def _acknowledge_durable(self) -> None:
         """Acknowledge entries that a sync has made durable to the current leader."""
@@ -59,33 +59,33 @@
         self._out.sends.append((to, reply))
 
     def _on_append(self, append: Append, now: float) -> None:
-        if not self._hear_leader(append.sender, append.term, now):
-            self._refuse(append, self.log.last_index)
+        if not self._accept_leader(append.sender, append.term, now):
+            self._reject(append, self.log.last_index)
             return
         if append.prev_index < self.log.base_index:
             self._accept(append, self.commit)
             return
         if self.log.term_at(append.prev_index) != append.prev_term:
-            self._refuse(append, min(append.prev_index - 1, self.log.last_index))
+            self._reject(append, min(append.prev_index - 1, self.log.last_index))
             return
         for entry in append.entries:
             if self.log.term_at(entry.index) != entry.term:
                 self._put_entry(entry)
-        self._membership.follow(self.log)
+        self._membership.update(self.log)
         match = append.prev_index + len(append.entries)
         self._commit_to(min(append.commit, match))
         self._accept(append, match)
 
     def _on_install(self, install: Install, now: float) -> None:
-        if not self._hear_leader(install.sender, install.term, now):
-            self._refuse(install, self.log.last_index)
+        if not self._accept_leader(install.sender, install.term, now):
+            self._reject(install, self.log.last_index)
             return
         snapshot = install.snapshot
         if snapshot.index > self.commit:
-            self._take_snapshot(snapshot)
+            self._install_snapshot(snapshot)
         self._accept(install, self.commit)
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         """Replace the log up to the snapshot's index; keep later entries if the terms match.
 
         The later entries may have been acknowledged. If they were discarded, a majority might no
@@ -98,7 +98,7 @@
             self.log.reset(snapshot.index, snapshot.term)
         self.commit = snapshot.index
         self._membership.reset(snapshot.members)
-        self._membership.follow(self.log)
+        self._membership.update(self.log)
         self.snapshot = snapshot
         self._out.snapshot = snapshot
         self._out.records.clear()
--- a/siskinspoke/coordination/replica/leading.py
+++ b/siskinspoke/coordination/replica/leading.py
@@ -10,11 +10,11 @@
 from siskinspoke.protocol.replication import Append, AppendReply, Entry, Handover, Install
 
 NOOP = "noop"
-MAX_BATCH = 256
-LEASE_SHARE = 0.9
+MAX_ENTRIES_PER_APPEND = 256
+LEASE_FRACTION = 0.9
 
 
-class Leading(ReplicaCore):
+class LeaderMixin(ReplicaCore):
     """Replicate the log as the leader and track how long leadership is certain."""
 
     def _become_leader(self, now: float) -> None:
@@ -23,7 +23,9 @@
         self._pending_vote_output = 0
         self.timer.reset_backoff()
         self._learners = Learners()
-        self._followers = Followers(self._peers, self.log.last_index + 1, now, self._counts)
+        self._followers = Followers(
+            self._peers, self.log.last_index + 1, now, self._is_voting_member
+        )
         if self.log.last_index:
             self.propose(NOOP, None, now)
         else:
@@ -37,8 +39,8 @@
         entry = Entry(self.log.last_index + 1, self.term, kind, body)
         self._put_entry(entry)
         if kind in (ADD, REMOVE):
-            self._membership.follow(self.log)
-            self._follow_all(now)
+            self._membership.update(self.log)
+            self._update_followers(now)
         self._replicate(now)
         self._advance_commit(now)
         return entry.index
@@ -56,7 +58,7 @@
             self._out.sends.append((successor, Handover(self.name, self.term)))
         self._step_down(now)
 
-    def _lead(self, now: float) -> None:
+    def _tick_leader(self, now: float) -> None:
         """Send due heartbeats, or step down if a majority no longer replies.
 
         Without the check, an isolated leader, or one whose VM was suspended and resumed, would
@@ -68,8 +70,8 @@
         self._change_members(now)
         if now >= self._heartbeat_at:
             self._heartbeat_at = now + self._times.heartbeat_ms
-            for _, item in self._followers:
-                item.in_flight_until = 0.0
+            for _, progress in self._followers:
+                progress.in_flight_until = 0.0
             self._replicate(now, heartbeat=True)
 
     def _has_heard_majority(self, now: float) -> bool:
@@ -84,24 +86,24 @@
         return self._is_majority(1 + self._followers.heard_since(since))
 
     def _replicate(self, now: float, heartbeat: bool = False) -> None:
-        for peer, item in self._followers:
-            behind = item.next_index <= self.log.last_index
-            if heartbeat or (behind and now >= item.in_flight_until):
-                self._send_entries(peer, item, now)
+        for peer, progress in self._followers:
+            behind = progress.next_index <= self.log.last_index
+            if heartbeat or (behind and now >= progress.in_flight_until):
+                self._send_entries(peer, progress, now)
 
-    def _send_entries(self, peer: str, item: Progress, now: float) -> None:
-        previous = item.next_index - 1
+    def _send_entries(self, peer: str, progress: Progress, now: float) -> None:
+        previous = progress.next_index - 1
         previous_term = self.log.term_at(previous)
         if previous_term is None:
             self._out.sends.append((peer, Install(self.name, self.term, self.snapshot, now)))
-            item.in_flight_until = now + self._times.election_ms
+            progress.in_flight_until = now + self._times.election_ms
             return
-        last = min(self.log.last_index, previous + MAX_BATCH)
+        last = min(self.log.last_index, previous + MAX_ENTRIES_PER_APPEND)
         entries = self.log.between(previous + 1, last)
         append = Append(self.name, self.term, previous, previous_term, entries, self.commit, now)
         self._out.sends.append((peer, append))
         if entries:
-            item.in_flight_until = now + self._times.heartbeat_ms
+            progress.in_flight_until = now + self._times.heartbeat_ms
 
     def _on_append_reply(self, reply: AppendReply, now: float) -> None:
         if reply.term > self.term:
@@ -110,47 +112,47 @@
             return
         if self.role is not Role.LEADER or reply.term != self.term:
             return
-        item = self._followers.find(reply.sender)
-        if item is None:
+        progress = self._followers.find(reply.sender)
+        if progress is None:
             return
-        if item.incarnation not in (0, reply.incarnation):
-            item.match = 0
-        item.incarnation = reply.incarnation
-        item.heard_at = now
-        item.in_flight_until = 0.0
-        if reply.sent_at > item.leased_from:
+        if progress.incarnation not in (0, reply.incarnation):
+            progress.match = 0
+        progress.incarnation = reply.incarnation
+        progress.heard_at = now
+        progress.in_flight_until = 0.0
+        if reply.sent_at > progress.leased_from:
             self.timer.round_trips.add(now - reply.sent_at, now)
         # The follower received the message that it answers no earlier than it was sent. A later
         # message must not extend the lease, since it may not have arrived.
-        item.leased_from = max(item.leased_from, reply.sent_at)
+        progress.leased_from = max(progress.leased_from, reply.sent_at)
         if not reply.accepted:
-            item.next_index = max(1, min(reply.match + 1, item.next_index - 1))
-            self._send_entries(reply.sender, item, now)
+            progress.next_index = max(1, min(reply.match + 1, progress.next_index - 1))
+            self._send_entries(reply.sender, progress, now)
             return
-        item.match = max(item.match, reply.match)
+        progress.match = max(progress.match, reply.match)
         # Skip entries that the follower has received but not yet synced.
-        item.next_index = max(item.next_index, item.match + 1, reply.received + 1)
+        progress.next_index = max(progress.next_index, progress.match + 1, reply.received + 1)
         self._advance_commit(now)
-        self._admit_if_caught_up(reply.sender, item, now)
-        if item.next_index <= self.log.last_index:
-            self._send_entries(reply.sender, item, now)
+        self._admit_if_caught_up(reply.sender, progress, now)
+        if progress.next_index <= self.log.last_index:
+            self._send_entries(reply.sender, progress, now)
 
     def _advance_commit(self, now: float) -> None:
         """Commit entries of this term that a majority of admitted disks holds."""
-        own = self._durable_index if self.admitted else None
-        reached = self._followers.held_by(len(self.members) // 2, own)
-        if reached > self.commit and self.log.term_at(reached) == self.term:
-            self._commit_to(reached)
+        own_index = self._durable_index if self.admitted else None
+        majority_index = self._followers.held_by(len(self.members) // 2, own_index)
+        if majority_index > self.commit and self.log.term_at(majority_index) == self.term:
+            self._commit_to(majority_index)
             # Tell followers immediately, so that each of them can serve the committed entries.
             self._replicate(now, heartbeat=True)
 
-    def _admit_if_caught_up(self, name: str, item: Progress, now: float) -> None:
+    def _admit_if_caught_up(self, name: str, progress: Progress, now: float) -> None:
         """Propose to admit a replaced disk once it holds all committed entries."""
-        if name not in self.members or self._counts(name, item.incarnation):
+        if name not in self.members or self._is_voting_member(name, progress.incarnation):
             return
-        if item.match < self.commit or not self._may_change_members():
+        if progress.match < self.commit or not self._may_change_members():
             return
-        self.propose(ADMIT, {"name": name, "incarnation": item.incarnation}, now)
+        self.propose(ADMIT, {"name": name, "incarnation": progress.incarnation}, now)
 
     def lease_until(self) -> float:
         """Return the time until which no other replica can be elected; -inf if not the leader.
@@ -165,7 +167,7 @@
         needed = len(self.members) // 2
         if not needed:
             return math.inf
-        return self._followers.leased_from(needed) + self._times.election_ms * LEASE_SHARE
+        return self._followers.leased_from(needed) + self._times.election_ms * LEASE_FRACTION
 
     def may_read(self) -> bool:
         """Return whether the commit index covers all entries committed by earlier leaders."""
@@ -184,7 +186,7 @@
         """Return whether a follower in this term with this incarnation is a voting member."""
         if self.role is not Role.LEADER or term != self.term:
             return False
-        return self._counts(name, incarnation)
+        return self._is_voting_member(name, incarnation)
 
     def beat_now(self, now: float) -> None:
         """Send heartbeats immediately, for a read that waits for confirmation by a majority."""
--- a/siskinspoke/coordination/replica/members.py
+++ b/siskinspoke/coordination/replica/members.py
@@ -1,7 +1,7 @@
 """Bootstrap of a replica, joining a group, and membership changes by the leader."""
 
-from siskinspoke.coordination.founding import FOUNDER, new_incarnation
-from siskinspoke.coordination.membership import ADD, ADMIT, FOUND, REMOVE, may_drop
+from siskinspoke.coordination.founding import FOUNDER_INCARNATION, new_incarnation
+from siskinspoke.coordination.membership import ADD, ADMIT, FOUND, REMOVE, member_to_remove
 from siskinspoke.coordination.replica.core import ReplicaCore
 from siskinspoke.coordination.replica_types import AskPeers, FoundNow, JoinGroup, Role
 from siskinspoke.protocol.replication import Identity, IntroduceReply, Join
@@ -9,34 +9,36 @@
 JOIN_INTERVAL_MS = 200.0
 
 
-class MembershipChanges(ReplicaCore):
+class MembershipMixin(ReplicaCore):
     """Join a group, and add or remove one member at a time."""
 
-    def _introduce(self, now: float) -> None:
+    def _tick_bootstrap(self, now: float) -> None:
         match self._start:
             case FoundNow():
-                self._become_known(FOUNDER, now, tuple(self.members))
+                self._set_identity(FOUNDER_INCARNATION, now, tuple(self.members))
             case JoinGroup():
-                self._become_known(new_incarnation(self._rng), now)
+                self._set_identity(new_incarnation(self._rng), now)
             case AskPeers() if self._peers:
-                self._out.sends.extend(self._founding.questions(now))
+                self._out.sends.extend(self._bootstrap.due_queries(now))
             case AskPeers():
-                self._become_known(FOUNDER, now)
+                self._set_identity(FOUNDER_INCARNATION, now)
 
-    def _ask_to_join(self, now: float) -> None:
+    def _request_join(self, now: float) -> None:
         """Send join requests while no leader contacts this replica.
 
         The replica may be new or may have been removed while it was unreachable. A removed
         replica cannot know this, since it never received the entry that removed it.
         """
-        if self._contacts is None or self.role is Role.NEW or now < self._join_at:
+        if self._join_targets is None or self.role is Role.NEW or now < self._next_join_at:
             return
-        self._join_at = now + JOIN_INTERVAL_MS
-        heard = now - self._leader_heard_at < self._times.election_ms and self.leader is not None
-        if self.role is Role.LEADER or (heard and self.admitted):
+        self._next_join_at = now + JOIN_INTERVAL_MS
+        has_leader = (
+            now - self._leader_heard_at < self._times.election_ms and self.leader is not None
+        )
+        if self.role is Role.LEADER or (has_leader and self.admitted):
             return
         request = Join(self.name, self.identity.incarnation)
-        for name in {*self._contacts, *self._peers} - {self.name}:
+        for name in {*self._join_targets, *self._peers} - {self.name}:
             self._out.sends.append((name, request))
 
     def _on_join(self, request: Join, now: float) -> None:
@@ -44,18 +46,18 @@
             if self.leader not in (None, self.name, request.sender):
                 self._out.sends.append((self.leader, request))
             return
-        if self._contacts is None or request.sender in self.members:
+        if self._join_targets is None or request.sender in self.members:
             return
-        self._learners.asked(request.sender, now)
-        self._follow_all(now)
-        item = self._followers.find(request.sender)
-        if item.incarnation != request.incarnation:
-            item.incarnation = request.incarnation
-            item.match = 0
-        if now >= item.in_flight_until:
-            self._send_entries(request.sender, item, now)
+        self._learners.record_request(request.sender, now)
+        self._update_followers(now)
+        progress = self._followers.find(request.sender)
+        if progress.incarnation != request.incarnation:
+            progress.incarnation = request.incarnation
+            progress.match = 0
+        if now >= progress.in_flight_until:
+            self._send_entries(request.sender, progress, now)
 
-    def _follow_all(self, now: float) -> None:
+    def _update_followers(self, now: float) -> None:
         """Track the progress of exactly the current members and learners."""
         names = [*self._peers, *self._learners.names]
         self._followers.follow(names, self.log.last_index + 1, now)
@@ -73,30 +75,30 @@
 
     def _change_members(self, now: float) -> None:
         """Add a learner that has caught up, or remove an unresponsive member."""
-        if self._contacts is None or not self._may_change_members():
+        if self._join_targets is None or not self._may_change_members():
             return
-        self._learners.forget(now)
+        self._learners.remove_expired(now)
         for name in self._learners.names:
-            item = self._followers.find(name)
-            if item is not None and item.match and item.match >= self.commit:
-                self._learners.drop(name)
-                body = {"name": name, "incarnation": item.incarnation}
+            progress = self._followers.find(name)
+            if progress is not None and progress.match and progress.match >= self.commit:
+                self._learners.remove(name)
+                body = {"name": name, "incarnation": progress.incarnation}
                 self.propose(ADD, body, now)
                 return
-        silent = {name: self._followers.silent_since(name) for name in self._peers}
-        gone = may_drop(silent, len(self.members), now)
-        if gone is not None:
-            self.propose(REMOVE, {"name": gone}, now)
+        last_heard = {name: self._followers.silent_since(name) for name in self._peers}
+        unresponsive = member_to_remove(last_heard, len(self.members), now)
+        if unresponsive is not None:
+            self.propose(REMOVE, {"name": unresponsive}, now)
 
     def _on_introduce_reply(self, reply: IntroduceReply, now: float) -> None:
         if self.role is not Role.NEW:
             return
-        incarnation = self._founding.hear(reply)
+        incarnation = self._bootstrap.handle_reply(reply)
         if incarnation is not None:
-            self._become_known(incarnation, now)
+            self._set_identity(incarnation, now)
 
-    def _become_known(self, incarnation: int, now: float, founders: tuple[str, ...] = ()) -> None:
+    def _set_identity(self, incarnation: int, now: float, founders: tuple[str, ...] = ()) -> None:
         self.identity = Identity(self.name, incarnation, founders)
         self._out.identity = self.identity
         self.role = Role.FOLLOWER
-        self._rearm(now)
+        self._reset_election_timer(now)
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from siskinspoke.coordination.membership import SILENT_MS, may_drop
+from siskinspoke.coordination.membership import MEMBER_TIMEOUT_MS, member_to_remove
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica_types import FoundNow, JoinGroup, Restored, Role
 from siskinspoke.protocol.replication import AppendReply, Join
@@ -71,7 +71,7 @@
 class LearnersCount(Replica):
     """Mutant: a learner is counted as soon as it has requested to join."""
 
-    def _counts(self, name, incarnation):
+    def _is_voting_member(self, name, incarnation):
         return name in self.members or name in self._learners.names
 
 
@@ -135,8 +135,8 @@
 
     @pytest.mark.parametrize(("size", "dropped"), [(2, None), (3, None), (4, "b"), (5, None)])
     def test_only_even_groups_drop(self, size, dropped):
-        now = SILENT_MS * 2
-        assert may_drop({"a": now, "b": 0.0}, size, now) == dropped
+        now = MEMBER_TIMEOUT_MS * 2
+        assert member_to_remove({"a": now, "b": 0.0}, size, now) == dropped
 
     def test_a_short_silence_is_borne(self):
-        assert may_drop({"a": 0.0, "b": 10.0}, 4, SILENT_MS - 1) is None
+        assert member_to_remove({"a": 0.0, "b": 10.0}, 4, MEMBER_TIMEOUT_MS - 1) is None
--- a/tests/coordination/test_replica.py
+++ b/tests/coordination/test_replica.py
@@ -53,7 +53,7 @@
 class CountsForgottenDisks(Replica):
     """Mutant: an erased disk is counted immediately."""
 
-    def _counts(self, name, incarnation):
+    def _is_voting_member(self, name, incarnation):
         return True
 
 
@@ -79,7 +79,7 @@
 
     def _on_introduce_reply(self, reply, now):
         if self.role is Role.NEW:
-            self._become_known(1, now)
+            self._set_identity(1, now)
 
 
 class TestMutants:
