--- a/siskinspoke/coordination/claims.py
+++ b/siskinspoke/coordination/claims.py
@@ -19,8 +19,8 @@
     Target,
 )
 
-MAX_KEPT_BODY = 1_024
-CLOCK_SLACK_MS = 1_000
+MAX_STORED_BODY_CHARS = 1_024
+CLOCK_SKEW_TOLERANCE_MS = 1_000
 
 
 class Claim(NamedTuple):
@@ -50,20 +50,24 @@
 
     def claim(self, request: ClaimRequest, clock_ms: int) -> ClaimAnswer:
         """Grant a claim, or return its current owner or the result of the execution."""
-        self.forget(clock_ms)
+        self.remove_expired(clock_ms)
         if request.expires_ms <= clock_ms:
             return ClaimAnswer(int(ResultCode.KEY_EXPIRED))
-        if request.expires_ms > clock_ms + request.lifetime_ms + CLOCK_SLACK_MS:
+        if request.expires_ms > clock_ms + request.lifetime_ms + CLOCK_SKEW_TOLERANCE_MS:
             return ClaimAnswer(int(ResultCode.INVALID_KEY))
-        held = self._claims.get(request.key)
-        if held is None or held.state == FREE:
-            return self._grant(request, 1 if held is None else held.attempt + 1)
-        if held.state == CLAIMED and held.owner == request.owner and held.target == request.target:
+        existing = self._claims.get(request.key)
+        if existing is None or existing.state == FREE:
+            return self._grant(request, 1 if existing is None else existing.attempt + 1)
+        if (
+            existing.state == CLAIMED
+            and existing.owner == request.owner
+            and existing.target == request.target
+        ):
             # This is a retry of the same attempt after its answer was lost: the owner string
             # identifies one request of one incarnation of one VM.
-            return self._answer(ResultCode.OK, held)
-        code = ResultCode.IN_PROGRESS if held.state == CLAIMED else ResultCode.ALREADY_RAN
-        return self._answer(code, held)
+            return self._answer(ResultCode.OK, existing)
+        code = ResultCode.IN_PROGRESS if existing.state == CLAIMED else ResultCode.ALREADY_RAN
+        return self._answer(code, existing)
 
     def _grant(self, request: ClaimRequest, attempt: int) -> ClaimAnswer:
         claim = Claim(request.expires_ms, CLAIMED, attempt, request.owner, request.target)
@@ -79,28 +83,28 @@
 
     def lookup(self, request: LookupRequest, clock_ms: int) -> ClaimAnswer:
         """Return the claim on a key; OK means that no attempt holds the key or was executed."""
-        self.forget(clock_ms)
-        held = self._claims.get(request.key)
-        if held is None or held.state == FREE:
+        self.remove_expired(clock_ms)
+        existing = self._claims.get(request.key)
+        if existing is None or existing.state == FREE:
             return ClaimAnswer(int(ResultCode.OK))
-        code = ResultCode.IN_PROGRESS if held.state == CLAIMED else ResultCode.ALREADY_RAN
-        return self._answer(code, held)
+        code = ResultCode.IN_PROGRESS if existing.state == CLAIMED else ResultCode.ALREADY_RAN
+        return self._answer(code, existing)
 
     def settle(self, request: SettleRequest, clock_ms: int) -> ClaimAnswer:
         """Record the result of an attempt; results of earlier attempts are rejected."""
-        self.forget(clock_ms)
-        held = self._claims.get(request.key)
-        if held is None:
+        self.remove_expired(clock_ms)
+        existing = self._claims.get(request.key)
+        if existing is None:
             return ClaimAnswer(int(ResultCode.KEY_EXPIRED))
-        if held.attempt != request.attempt or held.state != CLAIMED:
-            return self._answer(ResultCode.CLAIM_CONFLICT, held)
+        if existing.attempt != request.attempt or existing.state != CLAIMED:
+            return self._answer(ResultCode.CLAIM_CONFLICT, existing)
         state = RAN if request.ran else FREE
-        body = request.body if len(request.body) <= MAX_KEPT_BODY else ""
-        settled = held._replace(state=state, status=request.status, body=body)
+        body = request.body if len(request.body) <= MAX_STORED_BODY_CHARS else ""
+        settled = existing._replace(state=state, status=request.status, body=body)
         self._claims[request.key] = settled
         return self._answer(ResultCode.OK, settled)
 
-    def forget(self, clock_ms: int) -> None:
+    def remove_expired(self, clock_ms: int) -> None:
         """Delete the claims of expired keys."""
         while self._expiries and self._expiries[0][0] <= clock_ms:
             _, key = heapq.heappop(self._expiries)
--- a/siskinspoke/coordination/configuration.py
+++ b/siskinspoke/coordination/configuration.py
@@ -4,7 +4,7 @@
 
 from siskinspoke.conf import Configuration, configuration_from
 
-FROM_FILES = "files"
+SOURCE_FILES = "files"
 FROM_DISK = "disk"
 FROM_CONTROL = "control"
 
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, configuration: Configuration, document: dict):
-        self._in_force = InForce(0, configuration, document, FROM_FILES)
+        self._in_force = InForce(0, configuration, document, SOURCE_FILES)
 
     @property
     def current(self) -> InForce:
@@ -37,8 +37,8 @@
         """Activate a configuration; return False if it is not newer or not valid."""
         if version <= self._in_force.version:
             return False
-        read = configuration_from(document)
-        if read.is_error():
+        parsed = configuration_from(document)
+        if parsed.is_error():
             return False
-        self._in_force = InForce(version, read.ok, document, source)
+        self._in_force = InForce(version, parsed.ok, document, source)
         return True
--- a/siskinspoke/coordination/machine.py
+++ b/siskinspoke/coordination/machine.py
@@ -15,7 +15,7 @@
 
 CLAIM, LOOKUP, SETTLE, CONFIGURE = "claim", "lookup", "settle", "configure"
 ORDER, ORDER_END, PUBLISH = "order", "order-end", "publish"
-MAX_ORDERS = 20_000
+MAX_REMEMBERED_CHANGES = 20_000
 MAX_PATCHES = 64
 
 
@@ -71,7 +71,7 @@
         self.version = 0
         self.document: dict | None = None
         self.clock_ms = 0
-        self._orders: dict[str, tuple[str, int]] = {}
+        self._applied_changes: dict[str, tuple[str, int]] = {}
         self._patches: deque[dict] = deque(maxlen=MAX_PATCHES)
 
     def patches_since(self, version: int) -> list[dict] | None:
@@ -79,10 +79,10 @@
 
         None means that they are not available, so that the complete document is needed.
         """
-        missing = self.version - version
-        if version < 1 or not 0 < missing <= len(self._patches):
+        count = self.version - version
+        if version < 1 or not 0 < count <= len(self._patches):
             return None
-        return list(self._patches)[-missing:]
+        return list(self._patches)[-count:]
 
     def apply(
         self, entry: Entry
@@ -95,46 +95,46 @@
         match entry.kind:
             case "claim":
                 request = msgspec.convert(entry.body["request"], ClaimRequest)
-                return self.claims.claim(request, self._advance(entry.body))
+                return self.claims.claim(request, self._advance_clock(entry.body))
             case "lookup":
                 request = msgspec.convert(entry.body["request"], LookupRequest)
-                return self.claims.lookup(request, self._advance(entry.body))
+                return self.claims.lookup(request, self._advance_clock(entry.body))
             case "settle":
                 request = msgspec.convert(entry.body["request"], SettleRequest)
-                return self.claims.settle(request, self._advance(entry.body))
+                return self.claims.settle(request, self._advance_clock(entry.body))
             case "configure":
-                self._advance(entry.body)
+                self._advance_clock(entry.body)
                 return self._configure(msgspec.convert(entry.body["request"], ConfigureRequest))
             case "publish":
-                self._advance(entry.body)
+                self._advance_clock(entry.body)
                 return self._publish(msgspec.convert(entry.body["request"], PublishRequest))
             case "order":
                 order = msgspec.convert(entry.body["request"], OrderRequest)
-                return self.orders.give(order, entry.index, self._advance(entry.body))
+                return self.orders.give(order, entry.index, self._advance_clock(entry.body))
             case "order-end":
                 return self.orders.end(msgspec.convert(entry.body["request"], OrderEnd))
             case _:
                 return None
 
-    def _advance(self, body: dict) -> int:
+    def _advance_clock(self, body: dict) -> int:
         self.clock_ms = max(self.clock_ms, body["now_ms"])
         return self.clock_ms
 
     def _configure(self, request: ConfigureRequest) -> ConfigureAnswer:
         digest = _digest(request)
-        known = self._orders.get(request.order)
-        if known is not None:
-            same = known[0] == digest
+        earlier = self._applied_changes.get(request.order)
+        if earlier is not None:
+            same = earlier[0] == digest
             code = ResultCode.OK if same else ResultCode.ORDER_REUSED
-            return ConfigureAnswer(int(code), known[1] if same else self.version)
+            return ConfigureAnswer(int(code), earlier[1] if same else self.version)
         if request.expect != self.version:
             return ConfigureAnswer(int(ResultCode.VERSION_CONFLICT), self.version)
         self.version += 1
         self._patches.append(difference(self.document or {}, request.document))
         self.document = request.document
-        self._orders[request.order] = (digest, self.version)
-        if len(self._orders) > MAX_ORDERS:
-            del self._orders[next(iter(self._orders))]
+        self._applied_changes[request.order] = (digest, self.version)
+        if len(self._applied_changes) > MAX_REMEMBERED_CHANGES:
+            del self._applied_changes[next(iter(self._applied_changes))]
         return ConfigureAnswer(int(ResultCode.OK), self.version)
 
     def _publish(self, request: PublishRequest) -> PublishAnswer:
@@ -158,7 +158,7 @@
             "version": self.version,
             "document": self.document,
             "clock_ms": self.clock_ms,
-            "orders": [[order, *known] for order, known in self._orders.items()],
+            "orders": [[order, *known] for order, known in self._applied_changes.items()],
         }
 
     def load(self, state: dict) -> None:
@@ -169,7 +169,9 @@
         self._patches.clear()
         self.document = state["document"]
         self.clock_ms = state["clock_ms"]
-        self._orders = {order: (digest, version) for order, digest, version in state["orders"]}
+        self._applied_changes = {
+            order: (digest, version) for order, digest, version in state["orders"]
+        }
 
 
 def _digest(request: ConfigureRequest) -> str:
--- a/siskinspoke/coordination/orders.py
+++ b/siskinspoke/coordination/orders.py
@@ -13,7 +13,7 @@
 
 FLIGHT_MS = 3_000.0
 ORDER_LIFE_MS = 60_000
-MAX_FINISHED = 2_000
+MAX_FINISHED_ORDERS = 2_000
 LOADING_ACTIONS = frozenset({"load-model", "load-adapter", "load-version"})
 ACTIONS = LOADING_ACTIONS | {"change-role"}
 
@@ -92,7 +92,7 @@
         record = OrderRecord(number, clock_ms, request, PENDING, "")
         self._records[number] = record
         self._numbers[request.order] = number
-        self._forget()
+        self._remove_oldest_finished()
         return self._answer(ResultCode.OK, record)
 
     def end(self, end: OrderEnd) -> OrderAnswer | None:
@@ -122,9 +122,9 @@
                 firsts.setdefault(record.request.server, record)
         return list(firsts.values())
 
-    def _forget(self) -> None:
+    def _remove_oldest_finished(self) -> None:
         finished = [n for n, record in self._records.items() if record.state != PENDING]
-        for number in finished[: max(0, len(finished) - MAX_FINISHED)]:
+        for number in finished[: max(0, len(finished) - MAX_FINISHED_ORDERS)]:
             del self._numbers[self._records.pop(number).request.order]
 
     def to_document(self) -> list:
@@ -146,15 +146,15 @@
 
     def __init__(self, concurrent_loads: int):
         self._concurrent_loads = concurrent_loads
-        self._flying: dict[int, OrderRecord] = {}
-        self._leads_since: float | None = None
+        self._in_flight: dict[int, OrderRecord] = {}
+        self._leader_since: float | None = None
 
     def leadership(self, leads: bool, now: float) -> None:
         """Record whether this replica is the leader."""
         if not leads:
-            self._leads_since = None
-        elif self._leads_since is None:
-            self._leads_since = now
+            self._leader_since = None
+        elif self._leader_since is None:
+            self._leader_since = now
 
     def choose(self, pending: list[OrderRecord], lease_until: float, now: float):
         """Return the orders to send now; none is returned again while it is in flight.
@@ -164,25 +164,25 @@
         the loads of the previous one to end, so that the return of a failure domain does not
         trigger a burst of loads.
         """
-        if self._leads_since is None or now >= lease_until:
+        if self._leader_since is None or now >= lease_until:
             return []
-        settled = now - self._leads_since >= FLIGHT_MS
-        chosen = []
+        takeover_complete = now - self._leader_since >= FLIGHT_MS
+        selected = []
         for record in pending:
-            loading = record.request.action in LOADING_ACTIONS
-            if record.number in self._flying:
+            is_load = record.request.action in LOADING_ACTIONS
+            if record.number in self._in_flight:
                 continue
-            if not settled and (loading or not record.request.fencing):
+            if not takeover_complete and (is_load or not record.request.fencing):
                 continue
-            if loading and self._loads() >= self._concurrent_loads:
+            if is_load and self._loads_in_flight() >= self._concurrent_loads:
                 continue
-            self._flying[record.number] = record
-            chosen.append(record)
-        return chosen
+            self._in_flight[record.number] = record
+            selected.append(record)
+        return selected
 
-    def _loads(self) -> int:
-        return sum(r.request.action in LOADING_ACTIONS for r in self._flying.values())
+    def _loads_in_flight(self) -> int:
+        return sum(r.request.action in LOADING_ACTIONS for r in self._in_flight.values())
 
     def landed(self, number: int) -> None:
         """Record that an order is no longer in flight."""
-        self._flying.pop(number, None)
+        self._in_flight.pop(number, None)
--- a/siskinspoke/coordination/vetting.py
+++ b/siskinspoke/coordination/vetting.py
@@ -14,7 +14,7 @@
 
 # The server name is sent in a header of each request to the server.
 _NAME = re.compile(r"[A-Za-z0-9._:~-]{1,128}", re.ASCII)
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class AnnouncementFault(Enum):
@@ -28,39 +28,39 @@
 
 
 def fault_of(
-    said: Announcement, known: Announcement | None, services: Set[str] | None
+    announcement: Announcement, known: Announcement | None, services: Set[str] | None
 ) -> AnnouncementFault | None:
     """Return why an announcement is rejected, or None if it is accepted.
 
     ``known`` is the last announcement with the same server name. ``services`` are the services of
     the active configuration, or None if there is none yet.
     """
-    if not _NAME.fullmatch(said.server):
+    if not _NAME.fullmatch(announcement.server):
         return AnnouncementFault.NAME
-    if said.incarnation < 0 or said.seq < 0:
+    if announcement.incarnation < 0 or announcement.seq < 0:
         return AnnouncementFault.NUMBER
-    if not _is_address(said):
+    if not _is_address(announcement):
         return AnnouncementFault.ADDRESS
-    same_start = known is not None and known.incarnation == said.incarnation
-    if same_start and _place(known) == _place(said):
+    same_incarnation = known is not None and known.incarnation == announcement.incarnation
+    if same_incarnation and _endpoint(known) == _endpoint(announcement):
         # Accept it even if its service is no longer configured, so that the server can still
         # announce that it is leaving.
         return None
-    if services is not None and said.service not in services:
+    if services is not None and announcement.service not in services:
         return AnnouncementFault.SERVICE
-    if same_start and (services is None or known.service in services):
+    if same_incarnation and (services is None or known.service in services):
         return AnnouncementFault.MOVED
     return None
 
 
-def _is_address(said: Announcement) -> bool:
+def _is_address(announcement: Announcement) -> bool:
     try:
-        ipaddress.IPv4Address(said.host)
+        ipaddress.IPv4Address(announcement.host)
     except ValueError:
         # The caller counts and logs the rejection.
         return False
-    return 0 < said.port <= MOST_PORT
+    return 0 < announcement.port <= MAX_PORT
 
 
-def _place(said: Announcement) -> tuple[str, str, int]:
-    return said.service, said.host, said.port
+def _endpoint(announcement: Announcement) -> tuple[str, str, int]:
+    return announcement.service, announcement.host, announcement.port
--- a/siskinspoke/state/journal.py
+++ b/siskinspoke/state/journal.py
@@ -17,30 +17,30 @@
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.state.files import storage_error, sync_folder
 
-MARK = b"\xabSJ1"
+MAGIC = b"\xabSJ1"
 LENGTH_BYTES = 4
 CHECKSUM_BYTES = 8
-HEADER_BYTES = len(MARK) + LENGTH_BYTES + CHECKSUM_BYTES
+HEADER_BYTES = len(MAGIC) + LENGTH_BYTES + CHECKSUM_BYTES
 
 
-class Loaded(NamedTuple):
+class OpenedJournal(NamedTuple):
     """An open journal and the bodies of its records."""
 
     journal: "Journal"
     records: list[bytes]
 
 
-def _frame(body: bytes) -> bytes:
+def _encode_frame(body: bytes) -> bytes:
     length = len(body).to_bytes(LENGTH_BYTES, "big")
-    return MARK + length + xxhash.xxh64_digest(length + body) + body
+    return MAGIC + length + xxhash.xxh64_digest(length + body) + body
 
 
 def _read_frame(data: bytes, position: int) -> bytes | None:
     """Return the body of the frame at a position, or None if it is not valid."""
     header = data[position : position + HEADER_BYTES]
-    if len(header) < HEADER_BYTES or not header.startswith(MARK):
+    if len(header) < HEADER_BYTES or not header.startswith(MAGIC):
         return None
-    length = header[len(MARK) : len(MARK) + LENGTH_BYTES]
+    length = header[len(MAGIC) : len(MAGIC) + LENGTH_BYTES]
     start = position + HEADER_BYTES
     body = data[start : start + int.from_bytes(length, "big")]
     if xxhash.xxh64_digest(length + body) != header[-CHECKSUM_BYTES:]:
@@ -48,7 +48,7 @@
     return body
 
 
-def _frames(data: bytes) -> Iterator[tuple[int, bytes]]:
+def _valid_frames(data: bytes) -> Iterator[tuple[int, bytes]]:
     """Yield the end position and body of each frame up to the first invalid one."""
     position = 0
     while (body := _read_frame(data, position)) is not None:
@@ -56,13 +56,13 @@
         yield position, body
 
 
-def _sound_frame_after(data: bytes, position: int) -> bool:
+def _has_valid_frame_after(data: bytes, position: int) -> bool:
     """Return whether a valid frame starts anywhere after a position."""
-    found = data.find(MARK, position + 1)
+    found = data.find(MAGIC, position + 1)
     while found >= 0:
         if _read_frame(data, found) is not None:
             return True
-        found = data.find(MARK, found + 1)
+        found = data.find(MAGIC, found + 1)
     return False
 
 
@@ -80,7 +80,7 @@
         pages after a failed sync, so a later successful sync would not show that they are durable.
         """
         try:
-            self._file.write(b"".join(_frame(body) for body in bodies))
+            self._file.write(b"".join(_encode_frame(body) for body in bodies))
             self._file.flush()
             os.fdatasync(self._file.fileno())
         except OSError as error:
@@ -91,7 +91,7 @@
         temporary = self._path.with_suffix(".new")
         try:
             with temporary.open("wb") as file:
-                file.write(b"".join(_frame(body) for body in bodies))
+                file.write(b"".join(_encode_frame(body) for body in bodies))
                 file.flush()
                 os.fsync(file.fileno())
             temporary.replace(self._path)
@@ -106,16 +106,16 @@
         self._file.close()
 
 
-def open_journal(path: Path) -> Result[Loaded, Failure]:
+def open_journal(path: Path) -> Result[OpenedJournal, Failure]:
     """Open or create a journal, truncate an incomplete frame at its end, and return its records."""
     try:
         existed = path.exists()
         data = path.read_bytes() if existed else b""
         end, records = 0, []
-        for end, body in _frames(data):  # noqa: B007  (used after the loop)
+        for end, body in _valid_frames(data):  # noqa: B007  (used after the loop)
             records.append(body)
         if end < len(data):
-            if _sound_frame_after(data, end):
+            if _has_valid_frame_after(data, end):
                 message = f"{path}: corrupt frame at byte {end} is followed by valid frames"
                 return Error(Failure(ResultCode.JOURNAL_CORRUPT, message))
             with path.open("rb+") as file:
@@ -126,4 +126,4 @@
             sync_folder(path.parent)
     except OSError as error:
         return Error(storage_error(path, error).failure)
-    return Ok(Loaded(journal, records))
+    return Ok(OpenedJournal(journal, records))
--- a/siskinspoke/state/replica_store.py
+++ b/siskinspoke/state/replica_store.py
@@ -57,14 +57,14 @@
         self._journal.close()
 
 
-def _must(result: Result) -> bytes | None:
+def _unwrap(result: Result) -> bytes | None:
     if result.is_error():
         raise FailureError(result.error)
     return result.ok
 
 
 def _read_identity(folder: Path, name: str) -> Identity | None:
-    body = _must(read_checked(folder / IDENTITY_FILE))
+    body = _unwrap(read_checked(folder / IDENTITY_FILE))
     if body is None:
         return None
     identity = msgspec.json.decode(body, type=Identity)
@@ -86,7 +86,7 @@
     records = [_decode(item, folder / JOURNAL_FILE) for item in bodies]
     snapshot = None
     if not any(isinstance(record, Checkpoint) for record in records):
-        body = _must(read_checked(folder / SNAPSHOT_FILE))
+        body = _unwrap(read_checked(folder / SNAPSHOT_FILE))
         snapshot = None if body is None else _decode(body, folder / SNAPSHOT_FILE)
     restored = restored_from(identity, snapshot, records)
     if identity is None and (restored.entries or restored.snapshot is not None):
--- a/siskinspoke/state/server_file.py
+++ b/siskinspoke/state/server_file.py
@@ -42,11 +42,11 @@
         entries = msgspec.json.decode(read.ok or b"[]", type=list[msgspec.Raw])
     except msgspec.MsgspecError as error:
         return Error(Failure(ResultCode.JOURNAL_CORRUPT, f"{SERVERS_FILE}: {error}"))
-    announcements = [item for entry in entries if (item := _entry(entry)) is not None]
+    announcements = [item for entry in entries if (item := _decode_entry(entry)) is not None]
     return Ok(KeptServers(announcements, len(entries) - len(announcements)))
 
 
-def _entry(entry: msgspec.Raw) -> Announcement | None:
+def _decode_entry(entry: msgspec.Raw) -> Announcement | None:
     try:
         announcement = msgspec.json.decode(entry, type=Announcement)
     except msgspec.MsgspecError:
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from siskinspoke.coordination.claims import MAX_KEPT_BODY, ClaimBook
+from siskinspoke.coordination.claims import MAX_STORED_BODY_CHARS, ClaimBook
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.protocol.claims import ClaimRequest, SettleRequest, Target
 
@@ -58,7 +58,7 @@
     def test_long_result_is_not_kept(self):
         book = ClaimBook()
         book.claim(ask(), 0)
-        book.settle(SettleRequest("c/k", 1, True, 200, "x" * (MAX_KEPT_BODY + 1)), 1)
+        book.settle(SettleRequest("c/k", 1, True, 200, "x" * (MAX_STORED_BODY_CHARS + 1)), 1)
         assert book.claim(ask(owner="entry-2.1"), 2).body == ""
 
 
