--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -30,16 +30,16 @@
             group.check_members()
 
 
-class TestFounding:
+class TestBootstrap:
     """Bootstrap of a group."""
 
-    def test_eight_found_and_join(self):
+    def test_seeds_found_a_group_and_others_join(self):
         """Eight VMs start with empty disks: three are configured as seeds and five join."""
         group = ElasticGroup(8, 1)
         group.heal(8_000)
         group.check_members()
 
-    def test_a_machine_with_a_lost_disk_does_not_found(self):
+    def test_seed_with_a_lost_disk_does_not_found_a_group(self):
         """Guards against a second group with its own leader.
 
         A seed loses its disk while it is partitioned from the two others and restarts with an empty
@@ -52,7 +52,7 @@
         assert replica.role is not Role.LEADER
         assert {type(item) for _, item in replica.take_output().sends} == {Join}
 
-    def test_founders_are_kept_on_disk(self):
+    def test_founders_are_restored_from_disk(self):
         """Guards against a founder that restarts with changed seeds and loses its group."""
         replica = Replica("r0", ["r0", "r1"], TIMES, Restored(), random.Random(1), 0.0, FoundNow())
         replica.tick(0.0)
@@ -61,14 +61,14 @@
         assert set(again.members) == {"r0", "r1"}
 
 
-class TwoChangesAtOnce(Replica):
+class AllowsConcurrentChanges(Replica):
     """Mutant: a membership change is proposed while an earlier one is uncommitted."""
 
     def _may_change_members(self):
         return True
 
 
-class LearnersCount(Replica):
+class CountsLearners(Replica):
     """Mutant: a learner is counted as soon as it has requested to join."""
 
     def _is_voting_member(self, name, incarnation):
@@ -84,10 +84,10 @@
         Neither entry can be committed. If both were proposed, the leader and the two learners would
         be three of five, while the two followers elect another leader as two of three.
         """
-        assert self.newcomers_counted(Replica) == 1
-        assert self.newcomers_counted(TwoChangesAtOnce) == 2
+        assert self.learners_counted(Replica) == 1
+        assert self.learners_counted(AllowsConcurrentChanges) == 2
 
-    def newcomers_counted(self, kind: type[Replica]) -> int:
+    def learners_counted(self, kind: type[Replica]) -> int:
         """Return how many of two learners become members before anything is committed."""
         group = ElasticGroup(3, 3, kind)
         group.heal(3_000)
@@ -106,17 +106,17 @@
 class TestLearners:
     """A learner that is catching up is not counted until it is a member."""
 
-    def test_its_acknowledgement_commits_nothing(self):
+    def test_acknowledgement_of_a_learner_does_not_commit(self):
         """Guards against a change that is reported as accepted and then lost.
 
         A leader is partitioned from both followers and replicates to a learner. If the learner
         counted, the leader would commit a change that the two others, which elect their own
         leader, never receive.
         """
-        assert not self.commits_alone(Replica)
-        assert self.commits_alone(LearnersCount)
+        assert not self.commits_with_learner(Replica)
+        assert self.commits_with_learner(CountsLearners)
 
-    def commits_alone(self, kind: type[Replica]) -> bool:
+    def commits_with_learner(self, kind: type[Replica]) -> bool:
         """Return whether a leader commits with acknowledgements from itself and a learner only."""
         group = ElasticGroup(3, 3, kind)
         group.heal(3_000)
@@ -130,13 +130,13 @@
         return leader.commit > committed
 
 
-class TestDropping:
+class TestRemoval:
     """Removal of unresponsive members."""
 
-    @pytest.mark.parametrize(("size", "dropped"), [(2, None), (3, None), (4, "b"), (5, None)])
-    def test_only_even_groups_drop(self, size, dropped):
+    @pytest.mark.parametrize(("size", "removed"), [(2, None), (3, None), (4, "b"), (5, None)])
+    def test_only_even_groups_remove_a_member(self, size, removed):
         now = MEMBER_TIMEOUT_MS * 2
-        assert member_to_remove({"a": now, "b": 0.0}, size, now) == dropped
+        assert member_to_remove({"a": now, "b": 0.0}, size, now) == removed
 
-    def test_a_short_silence_is_borne(self):
+    def test_member_is_kept_until_its_timeout(self):
         assert member_to_remove({"a": 0.0, "b": 10.0}, 4, MEMBER_TIMEOUT_MS - 1) is None
--- a/tests/coordination/test_replica.py
+++ b/tests/coordination/test_replica.py
@@ -50,21 +50,21 @@
         assert run_schedule(3, 0, iter(steps)).settled()
 
 
-class CountsForgottenDisks(Replica):
+class CountsErasedDisks(Replica):
     """Mutant: an erased disk is counted immediately."""
 
     def _is_voting_member(self, name, incarnation):
         return True
 
 
-class ForgetsItsVote(Replica):
+class DoesNotPersistVote(Replica):
     """Mutant: term and vote are not written to disk."""
 
     def _set_term(self, term, voted_for=""):
         self.term, self._voted_for = term, voted_for
 
 
-class VotesForShorterLogs(Replica):
+class IgnoresCandidateLog(Replica):
     """Mutant: a vote is granted even if the candidate's log is less up to date."""
 
     def _refusal_reason(self, request, now):
@@ -74,7 +74,7 @@
         return None if granted else Refusal.VOTED
 
 
-class FoundsAgain(Replica):
+class BootstrapsAgain(Replica):
     """Mutant: a replica with an erased disk becomes a founder again."""
 
     def _on_introduce_reply(self, reply, now):
@@ -86,7 +86,7 @@
     """Disabling any safety check must make some schedule fail."""
 
     @pytest.mark.parametrize(
-        "mutant", [CountsForgottenDisks, ForgetsItsVote, VotesForShorterLogs, FoundsAgain]
+        "mutant", [CountsErasedDisks, DoesNotPersistVote, IgnoresCandidateLog, BootstrapsAgain]
     )
     def test_schedules_catch(self, mutant):
         with pytest.raises(InvariantError):
@@ -97,7 +97,7 @@
 FIRST_TERM = HardState(1, "")
 
 
-def follower(name="r0", hard=FIRST_TERM, entries=(), admitted=()):
+def make_follower(name="r0", hard=FIRST_TERM, entries=(), admitted=()):
     """Return a replica of a group of three that was restored from disk."""
     identity = Identity(name, 1)
     restored = Restored(identity, hard, None, admitted, entries)
@@ -120,13 +120,13 @@
         group.pass_time(TIMES.election_ms + 1)
         assert group.replicas[name].role is not Role.LEADER
 
-    def test_lower_term_with_longer_log_can_lead(self):
+    def test_replica_with_longer_log_adopts_higher_term(self):
         """Guards against two replicas that refuse each other's votes forever.
 
         After the leader's disk is lost, one has the longer log and the other the higher term.
         Pre-votes do not increase terms, so the candidate must adopt the term in the reply.
         """
-        replica = follower(hard=HardState(1, ""), entries=(Entry(1, 1, "noop", None),))
+        replica = make_follower(hard=HardState(1, ""), entries=(Entry(1, 1, "noop", None),))
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 2, False, True, 0, 0), 10_001)
         assert replica.term == 2
@@ -139,17 +139,15 @@
         replicas would refuse each other's votes.
         """
         admit = Entry(1, 1, "admit", {"name": "r1", "incarnation": 77})
-        replica = follower(entries=(admit,), admitted=(Admitted("r1", 77, 1),))
+        replica = make_follower(entries=(admit,), admitted=(Admitted("r1", 77, 1),))
         assert replica.members["r1"] == 77
         assert replica.commit == 1
 
-    def test_vote_is_given_once_in_a_term(self):
+    def test_one_vote_per_term(self):
         """Guards against a second vote in the same term after a restart of the voter."""
-        replica = follower(hard=HardState(5, "r1"))
-        group_request = {"incarnation": 1, "term": 5, "last_index": 9, "last_term": 5}
-        replica.receive(
-            VoteRequest("r2", **group_request, trial=False, commit=0, commit_term=0), 10_000
-        )
+        replica = make_follower(hard=HardState(5, "r1"))
+        fields = {"incarnation": 1, "term": 5, "last_index": 9, "last_term": 5}
+        replica.receive(VoteRequest("r2", **fields, trial=False, commit=0, commit_term=0), 10_000)
         ((_, reply),) = replica.take_output().sends
         assert not reply.granted
 
@@ -157,24 +155,24 @@
 class TestSlowElections:
     """Elections that take longer than the election timeout."""
 
-    def candidate(self) -> Replica:
+    def make_candidate(self) -> Replica:
         """Return a candidate of term 2 whose own vote is durable."""
-        replica = follower()
+        replica = make_follower()
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 1, True, True, 0, 0), 10_001)
         replica.synced(replica.take_output().mark, 10_002)
         assert replica.term == 2
         return replica
 
-    def test_vote_counts_after_the_next_trial_has_begun(self):
+    def test_vote_counts_after_the_next_pre_vote_has_started(self):
         """Guards against repeated elections that discard votes arriving after the timeout."""
-        replica = self.candidate()
+        replica = self.make_candidate()
         replica.tick(20_000)
         replica.receive(VoteReply("r1", 1, 2, 2, True, False, 0, 0), 20_001)
         assert replica.role is Role.LEADER
 
     def test_vote_of_an_earlier_term_does_not_count(self):
-        replica = self.candidate()
+        replica = self.make_candidate()
         replica.receive(VoteReply("r2", 1, 3, 3, False, True, 0, 0), 10_003)
         replica.tick(20_000)
         replica.receive(VoteReply("r1", 1, 2, 2, True, False, 0, 0), 20_001)
@@ -182,7 +180,7 @@
 
     def test_candidate_waits_for_its_own_sync(self):
         """Guards against a candidate that starts a new election while its own vote is syncing."""
-        replica = follower()
+        replica = make_follower()
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 1, True, True, 0, 0), 10_001)
         mark = replica.take_output().mark
@@ -193,23 +191,23 @@
         replica.tick(70_000)
         assert replica.take_output().sends
 
-    def test_voter_refuses_trials_for_an_election_timeout_after_its_vote(self):
-        """Guards against a trial that deposes a new leader before its first message arrives."""
-        replica = follower()
+    def test_voter_refuses_pre_votes_for_an_election_timeout_after_its_vote(self):
+        """Guards against a pre-vote that deposes a new leader before its first message arrives."""
+        replica = make_follower()
         replica.receive(VoteRequest("r1", 1, 5, 0, 0, False, 0, 0), 10_000)
         replica.synced(replica.take_output().mark, 11_000)
-        trial = VoteRequest("r2", 1, 6, 0, 0, True, 0, 0)
-        replica.receive(trial, 11_000 + TIMES.election_ms / 2)
-        replica.receive(trial, 11_000 + TIMES.election_ms * 1.1)
-        early, late = [item for _, item in replica.take_output().sends]
-        assert (early.granted, early.refusal) == (False, "leader")
-        assert late.granted
+        pre_vote = VoteRequest("r2", 1, 6, 0, 0, True, 0, 0)
+        replica.receive(pre_vote, 11_000 + TIMES.election_ms / 2)
+        replica.receive(pre_vote, 11_000 + TIMES.election_ms * 1.1)
+        first_reply, second_reply = [item for _, item in replica.take_output().sends]
+        assert (first_reply.granted, first_reply.refusal) == (False, "leader")
+        assert second_reply.granted
 
 
 class TestConfirmation:
     """Confirmation of a leader by a majority before it answers a read."""
 
-    def leader_of(self, count: int) -> tuple[Replica, str, float]:
+    def make_leader(self, count: int) -> tuple[Replica, str, float]:
         """Return a leader, a follower's name, and a time after the leader's last message."""
         group = ReplicaGroup(count, 1)
         group.heal(3_000)
@@ -217,19 +215,19 @@
         return leader, next(name for name in group.names if name != leader.name), group.now + 1
 
     def test_read_forwarded_by_a_follower_confirms_a_leader_of_three(self):
-        leader, name, now = self.leader_of(3)
+        leader, name, now = self.make_leader(3)
         assert leader.is_followed_by(name, leader.term, 1)
         assert leader.heard_since(now, name)
         assert not leader.heard_since(now)
 
     def test_read_forwarded_by_one_follower_does_not_confirm_a_leader_of_five(self):
         """Guards against stale reads from a leader that has lost its majority."""
-        leader, name, now = self.leader_of(5)
+        leader, name, now = self.make_leader(5)
         assert not leader.heard_since(now, name)
 
     def test_read_forwarded_from_another_term_or_disk_confirms_nothing(self):
         """Guards against counting a follower that has elected another leader or lost its disk."""
-        leader, name, _ = self.leader_of(3)
+        leader, name, _ = self.make_leader(3)
         assert not leader.is_followed_by(name, leader.term + 1, 1)
         assert not leader.is_followed_by(name, leader.term, 77)
         assert not leader.is_followed_by("r9", leader.term, 1)
@@ -240,7 +238,7 @@
 
     def test_vote_waits_for_its_sync(self):
         """A vote lost in a crash could let two candidates lead in the same term."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(VoteRequest("r1", 1, 5, 0, 0, False, 0, 0), 10_000)
         out = replica.take_output()
         assert out.sends == []
@@ -250,7 +248,7 @@
 
     def test_request_for_votes_waits_for_its_sync(self):
         """A candidate that loses its own vote in a crash could vote again in the same term."""
-        replica = follower()
+        replica = make_follower()
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 1, True, True, 0, 0), 10_001)
         out = replica.take_output()
@@ -259,18 +257,18 @@
 
     def test_entry_is_acknowledged_after_its_sync(self):
         """An acknowledged entry lost in a crash could revert an accepted change."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [Entry(1, 1, "noop", None)], 0, 5.0), 6.0)
         out = replica.take_output()
-        ((_, early),) = out.sends
-        assert (early.accepted, early.match, early.received) == (True, 0, 1)
+        ((_, first_reply),) = out.sends
+        assert (first_reply.accepted, first_reply.match, first_reply.received) == (True, 0, 1)
         replica.synced(out.mark, 7.0)
-        ((_, late),) = replica.take_output().sends
-        assert (late.accepted, late.match, late.sent_at) == (True, 1, 5.0)
+        ((_, second_reply),) = replica.take_output().sends
+        assert (second_reply.accepted, second_reply.match, second_reply.sent_at) == (True, 1, 5.0)
 
     def test_replaced_entry_is_not_acknowledged(self):
         """A sync that completes after a new leader replaced the entry must not acknowledge it."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [Entry(1, 1, "noop", None)], 0, 5.0), 6.0)
         out = replica.take_output()
         replica.receive(Append("r2", 2, 0, 0, [Entry(1, 2, "noop", None)], 0, 7.0), 8.0)
@@ -298,7 +296,7 @@
 
     def test_vote_is_refused_after_leader_is_heard_again(self):
         """A vote granted here could elect a new leader while the old one holds a lease."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [], 0, 10_000.0), 10_000)
         request = VoteRequest("r2", 1, 2, 0, 0, False, 0, 0)
         replica.receive(request, 10_000 + TIMES.election_ms / 2)
@@ -310,7 +308,7 @@
         assert reply.granted
 
     def test_handover_vote_is_granted_while_leader_is_heard(self):
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [], 0, 10_000.0), 10_000)
         replica.receive(VoteRequest("r2", 1, 2, 0, 0, False, 0, 0, True), 10_001)
         ((_, reply),) = replica.take_output().sends_after_sync
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -11,7 +11,7 @@
 RECORDS = [b"first", b"second record", b"third"]
 
 
-def written(path: Path) -> bytes:
+def write_records(path: Path) -> bytes:
     """Write the records to a journal and return the file's bytes."""
     opened = open_journal(path).ok
     opened.journal.append(RECORDS)
@@ -19,15 +19,15 @@
     return path.read_bytes()
 
 
-class TestTornEnd:
+class TestTornWrite:
     """A power failure during a write must not lose earlier records.
 
     The last record was never acknowledged and may be lost.
     """
 
-    def test_any_cut_keeps_the_records_before_it(self, tmp_path):
+    def test_truncation_at_any_byte_keeps_earlier_records(self, tmp_path):
         path = tmp_path / "journal"
-        data = written(path)
+        data = write_records(path)
         for end in range(len(data)):
             path.write_bytes(data[:end])
             loaded = open_journal(path).ok
@@ -36,38 +36,38 @@
             loaded.journal.close()
             assert open_journal(path).ok.records == [*loaded.records, b"later"]
 
-    def test_zeros_after_the_end_are_cut_off(self, tmp_path):
+    def test_zeros_after_the_end_are_truncated(self, tmp_path):
         path = tmp_path / "journal"
-        path.write_bytes(written(path) + bytes(64))
+        path.write_bytes(write_records(path) + bytes(64))
         assert open_journal(path).ok.records == RECORDS
 
 
-class TestDamage:
+class TestCorruption:
     """Corruption of records that were synced and acknowledged must be detected.
 
     Truncating the journal at the damage would silently revert accepted changes.
     """
 
-    def test_damaged_middle_is_refused(self, tmp_path):
+    def test_corrupt_frame_before_valid_one_is_rejected(self, tmp_path):
         path = tmp_path / "journal"
-        data = bytearray(written(path))
+        data = bytearray(write_records(path))
         for position in range(len(data) - len(RECORDS[-1]) - 20):
-            damaged = bytearray(data)
-            damaged[position] ^= 0xFF
-            path.write_bytes(damaged)
+            corrupt = bytearray(data)
+            corrupt[position] ^= 0xFF
+            path.write_bytes(corrupt)
             opened = open_journal(path)
             assert opened.is_error()
             assert opened.error.code is ResultCode.JOURNAL_CORRUPT
-            assert path.read_bytes() == bytes(damaged)
+            assert path.read_bytes() == bytes(corrupt)
 
-    def test_damaged_whole_file_is_refused(self, tmp_path):
+    def test_corrupt_atomic_file_is_rejected(self, tmp_path):
         path = tmp_path / "state"
         write_atomically(path, b"content")
         path.write_bytes(path.read_bytes()[:-1] + b"x")
         assert read_checked(path).error.code is ResultCode.JOURNAL_CORRUPT
 
 
-class TestRefusingDisk:
+class TestStorageErrors:
     """A record must not count as durable if the disk is full or read-only."""
 
     def test_full_disk_has_its_own_code(self):
--- a/tests/state/test_replica_store.py
+++ b/tests/state/test_replica_store.py
@@ -17,7 +17,7 @@
 class TestOpenStore:
     """Restart of a replica."""
 
-    def test_everything_comes_back(self, tmp_path):
+    def test_state_is_restored(self, tmp_path):
         store, empty = open_store(str(tmp_path), "control-a").ok
         assert empty.identity is None
         store.save_identity(Identity("control-a", 1))
@@ -34,14 +34,14 @@
         assert [entry.index for entry in restored.entries] == [2]
         assert restored.admitted == (Admitted("control-c", 9, 2),)
 
-    def test_folder_of_another_vm_is_refused(self, tmp_path):
+    def test_folder_of_another_vm_is_rejected(self, tmp_path):
         """Guards against a wrongly mounted disk, with which two replicas would share one state."""
         store, _ = open_store(str(tmp_path), "control-a").ok
         store.save_identity(Identity("control-a", 1))
         store.close()
         assert open_store(str(tmp_path), "control-b").error.code is ResultCode.FOREIGN_FOLDER
 
-    def test_log_without_identity_is_refused(self, tmp_path):
+    def test_log_without_identity_is_rejected(self, tmp_path):
         """Guards against votes by a replica whose votes were lost in a partial restore."""
         store, _ = open_store(str(tmp_path), "control-a").ok
         store.append([Entry(1, 1, "noop", None)])
--- a/tests/state/test_server_file.py
+++ b/tests/state/test_server_file.py
@@ -10,27 +10,27 @@
 class TestServerFile:
     """The list is optional: if it is missing or corrupt, a VM starts without known servers."""
 
-    def test_comes_back(self, tmp_path):
+    def test_announcements_are_restored(self, tmp_path):
         known = [announcement(number, 3, "sala-a") for number in range(4)]
         save_servers(tmp_path, known)
         assert load_servers(tmp_path).ok.announcements == known
 
-    def test_no_file(self, tmp_path):
+    def test_missing_file(self, tmp_path):
         assert load_servers(tmp_path).ok.announcements == []
 
-    def test_entry_that_names_no_server(self, tmp_path):
+    def test_invalid_entries_are_skipped(self, tmp_path):
         """Invalid entries are counted and skipped: a missing field, an invalid name, a number."""
-        well = [announcement(number, 3, "sala-a") for number in range(2)]
-        entries = [list(msgspec.to_builtins(item)) for item in well]
-        short = entries[0][:4]
-        strange = ["i 1\r\nX: y", *entries[1][1:]]
-        data = msgspec.json.encode([short, *entries, strange, 7])
+        valid = [announcement(number, 3, "sala-a") for number in range(2)]
+        entries = [list(msgspec.to_builtins(item)) for item in valid]
+        truncated = entries[0][:4]
+        invalid_name = ["i 1\r\nX: y", *entries[1][1:]]
+        data = msgspec.json.encode([truncated, *entries, invalid_name, 7])
         write_atomically(tmp_path / SERVERS_FILE, data)
-        read = load_servers(tmp_path).ok
-        assert read.announcements == well
-        assert read.unread == 3
+        loaded = load_servers(tmp_path).ok
+        assert loaded.announcements == valid
+        assert loaded.unread == 3
 
-    def test_damaged(self, tmp_path):
+    def test_corrupt_file(self, tmp_path):
         save_servers(tmp_path, [announcement(1, 3, "sala-a")])
         path = tmp_path / SERVERS_FILE
         path.write_bytes(path.read_bytes()[:-3])
