--- a/siskinspoke/coordination/membership.py
+++ b/siskinspoke/coordination/membership.py
@@ -67,7 +67,7 @@
         self._current = self._derive(self._entries)
         return True
 
-    def at(self, log: ReplicatedLog, index: int) -> dict[str, int]:
+    def members_at(self, log: ReplicatedLog, index: int) -> dict[str, int]:
         """Return the members as of a committed index."""
         return self._derive(_membership_entries(log, index))
 
@@ -134,9 +134,8 @@
 
     ``last_heard`` maps each other member to the time of its last message. Only a group of even size
     removes a member: its majority shrinks by one too, so it tolerates as many failures among the
-    remaining members as before, and it gives up no more copies than the smaller majority allows.
-    A group of odd size would gain nothing. A removed member that becomes reachable again sends a
-    join request.
+    remaining members as before, and a committed entry needs one copy less. A group of odd size
+    would gain nothing. A removed member that becomes reachable again sends a join request.
     """
     if size % 2 or size <= MIN_MEMBERS or not last_heard:
         return None
--- a/siskinspoke/coordination/replica/core.py
+++ b/siskinspoke/coordination/replica/core.py
@@ -195,7 +195,7 @@
 
     def compact(self, index: int, document: dict) -> Snapshot:
         """Replace the log up to an applied index with a snapshot of the state at that index."""
-        members = self._membership.at(self.log, index)
+        members = self._membership.members_at(self.log, index)
         snapshot = Snapshot(index, self.log.term_at(index), members, document)
         self.snapshot = snapshot
         self.log.compact(index)
--- a/siskinspoke/coordination/replica/elections.py
+++ b/siskinspoke/coordination/replica/elections.py
@@ -9,7 +9,7 @@
     """Start elections, answer vote requests and count votes."""
 
     def _start_election(self, now: float, pre_vote: bool, handover: bool = False) -> None:
-        """Start a pre-vote if ``trial`` is set, otherwise an election in the next term."""
+        """Start a pre-vote if ``pre_vote`` is set, otherwise an election in the next term."""
         self._reset_election_timer(now)
         if not self.admitted:
             return
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -57,8 +57,10 @@
         replica = Replica("r0", ["r0", "r1"], TIMES, Restored(), random.Random(1), 0.0, FoundNow())
         replica.tick(0.0)
         identity = replica.take_output().identity
-        again = Replica("r0", ["r7"], TIMES, Restored(identity), random.Random(1), 0.0, JoinGroup())
-        assert set(again.members) == {"r0", "r1"}
+        restarted = Replica(
+            "r0", ["r7"], TIMES, Restored(identity), random.Random(1), 0.0, JoinGroup()
+        )
+        assert set(restarted.members) == {"r0", "r1"}
 
 
 class AllowsConcurrentChanges(Replica):
