--- a/siskinspoke/control/group_daemon.py
+++ b/siskinspoke/control/group_daemon.py
@@ -17,7 +17,7 @@
 from siskinspoke.control.replica_task import ReplicaTask, now_ms
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.replica import Replica
-from siskinspoke.coordination.replica_types import FoundNow, JoinGroup, Times
+from siskinspoke.coordination.replica_types import FoundGroup, JoinGroup, Times
 from siskinspoke.core.codes import Failure, FailureError
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
@@ -203,7 +203,7 @@
     def _take_seeds(self, seeds: tuple[str, ...]) -> None:
         self._feeds.set_seeds(seeds)
         if self._replica is not None:
-            self._replica.set_contacts(seeds)
+            self._replica.set_join_targets(seeds)
 
     def _recall_servers(self) -> None:
         """Take the servers that this VM knew before it was restarted, for a short time."""
@@ -211,8 +211,8 @@
         if read.is_error():
             self._log.note("servers.not_recalled", reason=read.error.message)
             return
-        if read.ok.unread:
-            self._log.note("servers.unread", entries=read.ok.unread)
+        if read.ok.invalid_count:
+            self._log.note("servers.unread", entries=read.ok.invalid_count)
         self.registry.hear_remembered(read.ok.announcements)
 
     def _recall_entries(self) -> None:
@@ -294,9 +294,9 @@
             restored,
             random.Random(),
             now_ms(),
-            FoundNow() if founder else JoinGroup(),
+            FoundGroup() if founder else JoinGroup(),
         )
-        replica.set_contacts(settings.seed_hosts)
+        replica.set_join_targets(settings.seed_hosts)
         report = ReplicaReport(self._counters, self._latencies, self._log.note, links.states)
         task = ReplicaTask(replica, store, links, self._counters, SNAPSHOT_ENTRIES, report=report)
         self._replica, self._task = replica, task
--- a/siskinspoke/control/order_task.py
+++ b/siskinspoke/control/order_task.py
@@ -8,10 +8,10 @@
 from siskinspoke.control.replica_task import ReplicaTask, now_ms, wall_ms
 from siskinspoke.coordination.machine import ORDER_END
 from siskinspoke.coordination.orders import (
-    FLIGHT_MS,
-    ORDER_LIFE_MS,
+    ORDER_LIFETIME_MS,
+    ORDER_TIMEOUT_MS,
+    OrderDispatcher,
     OrderEnd,
-    OrderGate,
     OrderRecord,
 )
 from siskinspoke.core.counters import Counters
@@ -30,7 +30,7 @@
     ):
         self._task = task
         self._counters = counters
-        self._gate = OrderGate(concurrent_loads)
+        self._gate = OrderDispatcher(concurrent_loads)
         self._client = make_client(keep_alive=False, local_host=local_host)
 
     async def run(self) -> None:
@@ -39,22 +39,24 @@
             while True:
                 await trio.sleep(LOOK_SECONDS)
                 now = now_ms()
-                self._gate.leadership(self._task.leads, now)
+                self._gate.update_leadership(self._task.leads, now)
                 pending = self._task.machine.orders.pending()
-                for record in self._gate.choose(pending, self._task.replica.lease_until(), now):
+                for record in self._gate.select(
+                    pending, self._task.replica.lease_expires_at(), now
+                ):
                     nursery.start_soon(self._carry_out, record)
 
     async def _carry_out(self, record: OrderRecord) -> None:
         """Send one order, under a time limit, and record its end if it is known."""
         try:
             end = await self._send(record)
-            if end is None and wall_ms() - record.given_ms > ORDER_LIFE_MS:
+            if end is None and wall_ms() - record.given_ms > ORDER_LIFETIME_MS:
                 end = OrderEnd(record.number, False, "the engine did not answer in time")
             if end is not None:
                 await self._task.propose(ORDER_END, end, RECORD_SECONDS)
                 logger.info("order {}: {}", record.request.order, end.detail)
         finally:
-            self._gate.landed(record.number)
+            self._gate.mark_finished(record.number)
 
     async def _send(self, record: OrderRecord) -> OrderEnd | None:
         """Send an order; None where its fate is not known and it must be sent again."""
@@ -67,7 +69,7 @@
             "argument": request.argument,
         }
         self._counters.count("order.sent")
-        with trio.move_on_after(FLIGHT_MS / 1000):
+        with trio.move_on_after(ORDER_TIMEOUT_MS / 1000):
             try:
                 response = await self._client.post(url, content=msgspec.json.encode(body))
             except httpx.HTTPError:
--- a/siskinspoke/control/registry.py
+++ b/siskinspoke/control/registry.py
@@ -13,7 +13,7 @@
 from siskinspoke.control.replica_task import ReplicaTask, now_ms
 from siskinspoke.coordination.directory import Directory, Heard
 from siskinspoke.coordination.machine import PUBLISH, PublishRequest
-from siskinspoke.coordination.vetting import fault_of
+from siskinspoke.coordination.vetting import announcement_fault
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
@@ -69,7 +69,7 @@
     def fault_of(self, announcement: Announcement, services: Set[str] | None) -> Failure | None:
         """Return why an announcement is not believed; ``services`` are those in force, if any."""
         known = self.known(announcement.server)
-        fault = fault_of(announcement, known, services)
+        fault = announcement_fault(announcement, known, services)
         return None if fault is None else Failure(ResultCode.INVALID_FIELD, fault.value)
 
     def refuse(self, server: str, fault: Failure) -> None:
@@ -160,7 +160,7 @@
             leader=self._task.replica.leader,
             role=self._task.replica.role.value,
             term=self._task.replica.term,
-            unheard_ms=round(now_ms() - self._task.replica.leader_heard_at),
+            unheard_ms=round(now_ms() - self._task.replica.last_leader_contact_at),
         )
         return Published(known, self.held.version)
 
--- a/siskinspoke/control/replica_task.py
+++ b/siskinspoke/control/replica_task.py
@@ -18,7 +18,7 @@
 )
 from siskinspoke.control.replica_report import ReplicaReport
 from siskinspoke.control.replica_writer import ReplicaWriter, Synced, Write
-from siskinspoke.coordination.machine import PUBLISH, Machine, PublishAnswer, PublishRequest
+from siskinspoke.coordination.machine import PUBLISH, PublishAnswer, PublishRequest, StateMachine
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica_types import Output, Role
 from siskinspoke.core.channels import receive_queued
@@ -66,7 +66,7 @@
         clock: Callable[[], float] = now_ms,
         run_disk_write: Callable[..., Awaitable[None]] = trio.to_thread.run_sync,
     ):
-        self.machine = Machine()
+        self.machine = StateMachine()
         self.replica = replica
         self._links = links
         self._counters = counters
@@ -217,7 +217,7 @@
                     case Proposal():
                         self._propose(event, now)
                     case HandOver():
-                        self.replica.hand_over(now)
+                        self.replica.transfer_leadership(now)
                     case Read():
                         self._queue_read(event.answer, now)
                     case Forward():
@@ -257,16 +257,16 @@
 
     def _queue_read(self, pending: Pending, now: float, confirmed_by: str | None = None) -> None:
         self._reads.append(PendingRead(now, pending, confirmed_by))
-        if self.leads and not self.replica.heard_since(now, confirmed_by):
-            self.replica.beat_now(now)
+        if self.leads and not self.replica.confirmed_since(now, confirmed_by):
+            self.replica.send_heartbeats(now)
 
     def _answer_reads(self) -> None:
         """Answer readers for whom a majority has confirmed this leader since they asked."""
         waiting = []
         for read in self._reads:
-            if not self.replica.may_read():
+            if not self.replica.can_serve_reads():
                 read.pending.resolve(None, leader=self.leads)
-            elif self.replica.heard_since(read.asked_at, read.confirmed_by):
+            elif self.replica.confirmed_since(read.asked_at, read.confirmed_by):
                 read.pending.resolve(self.replica.commit)
             elif not read.pending.done.is_set():
                 waiting.append(read)
@@ -275,7 +275,7 @@
     async def _next_events(self) -> list[Any]:
         """Return all events that are there, waiting until the next tick at most."""
         events: list[Any] = []
-        with trio.move_on_after(max(0.0, self.replica.next_wake() - self._clock()) / 1000):
+        with trio.move_on_after(max(0.0, self.replica.next_tick_at() - self._clock()) / 1000):
             events.append(await self._receive.receive())
         return events + receive_queued(self._receive, MAX_EVENTS - len(events))
 
--- a/siskinspoke/coordination/claims.py
+++ b/siskinspoke/coordination/claims.py
@@ -38,7 +38,7 @@
 CLAIMED, FREE, RAN = "claimed", "free", "ran"
 
 
-class ClaimBook:
+class ClaimTable:
     """Apply claim commands in log order, with the same result at every replica."""
 
     def __init__(self) -> None:
--- a/siskinspoke/coordination/configuration.py
+++ b/siskinspoke/coordination/configuration.py
@@ -5,11 +5,11 @@
 from siskinspoke.conf import Configuration, configuration_from
 
 SOURCE_FILES = "files"
-FROM_DISK = "disk"
-FROM_CONTROL = "control"
+SOURCE_DISK = "disk"
+SOURCE_CONTROL = "control"
 
 
-class InForce(NamedTuple):
+class ActiveConfiguration(NamedTuple):
     """A configuration with its version and source."""
 
     version: int
@@ -26,10 +26,10 @@
     """
 
     def __init__(self, configuration: Configuration, document: dict):
-        self._in_force = InForce(0, configuration, document, SOURCE_FILES)
+        self._in_force = ActiveConfiguration(0, configuration, document, SOURCE_FILES)
 
     @property
-    def current(self) -> InForce:
+    def current(self) -> ActiveConfiguration:
         """Return the active configuration."""
         return self._in_force
 
@@ -40,5 +40,5 @@
         parsed = configuration_from(document)
         if parsed.is_error():
             return False
-        self._in_force = InForce(version, parsed.ok, document, source)
+        self._in_force = ActiveConfiguration(version, parsed.ok, document, source)
         return True
--- a/siskinspoke/coordination/machine.py
+++ b/siskinspoke/coordination/machine.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from siskinspoke.conf import difference
-from siskinspoke.coordination.claims import ClaimBook
-from siskinspoke.coordination.orders import OrderAnswer, OrderBook, OrderEnd, OrderRequest
+from siskinspoke.coordination.claims import ClaimTable
+from siskinspoke.coordination.orders import OrderAnswer, OrderEnd, OrderRequest, OrderTable
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.protocol.claims import ClaimAnswer, ClaimRequest, LookupRequest, SettleRequest
 from siskinspoke.protocol.replication import Entry
@@ -62,12 +62,12 @@
     installed: bool
 
 
-class Machine:
+class StateMachine:
     """Apply committed commands in log order, with the same result at every replica."""
 
     def __init__(self) -> None:
-        self.claims = ClaimBook()
-        self.orders = OrderBook()
+        self.claims = ClaimTable()
+        self.orders = OrderTable()
         self.version = 0
         self.document: dict | None = None
         self.clock_ms = 0
@@ -110,9 +110,9 @@
                 return self._publish(msgspec.convert(entry.body["request"], PublishRequest))
             case "order":
                 order = msgspec.convert(entry.body["request"], OrderRequest)
-                return self.orders.give(order, entry.index, self._advance_clock(entry.body))
+                return self.orders.submit(order, entry.index, self._advance_clock(entry.body))
             case "order-end":
-                return self.orders.end(msgspec.convert(entry.body["request"], OrderEnd))
+                return self.orders.record_result(msgspec.convert(entry.body["request"], OrderEnd))
             case _:
                 return None
 
--- a/siskinspoke/coordination/orders.py
+++ b/siskinspoke/coordination/orders.py
@@ -3,16 +3,16 @@
 The number of an order is its log index, which also serves as its fencing token: later orders have
 higher numbers across changes of leader. Engines that check the token reject outdated orders.
 Engines that ignore it are protected by timing alone: a leader sends orders only while it holds a
-lease and abandons an order after FLIGHT_MS, and a new leader waits that long before it sends the
-first order to such an engine.
+lease and abandons an order after ORDER_TIMEOUT_MS, and a new leader waits that long before it sends
+the first order to such an engine.
 """
 
 from typing import NamedTuple, TypedDict
 
 from siskinspoke.core.codes import ResultCode
 
-FLIGHT_MS = 3_000.0
-ORDER_LIFE_MS = 60_000
+ORDER_TIMEOUT_MS = 3_000.0
+ORDER_LIFETIME_MS = 60_000
 MAX_FINISHED_ORDERS = 2_000
 LOADING_ACTIONS = frozenset({"load-model", "load-adapter", "load-version"})
 ACTIONS = LOADING_ACTIONS | {"change-role"}
@@ -75,14 +75,14 @@
     detail: str
 
 
-class OrderBook:
+class OrderTable:
     """Store orders in log order."""
 
     def __init__(self) -> None:
         self._records: dict[int, OrderRecord] = {}
         self._numbers: dict[str, int] = {}
 
-    def give(self, request: OrderRequest, number: int, clock_ms: int) -> OrderAnswer:
+    def submit(self, request: OrderRequest, number: int, clock_ms: int) -> OrderAnswer:
         """Accept an order, or answer for an earlier one with the same idempotency key."""
         known = self._numbers.get(request.order)
         if known is not None:
@@ -95,15 +95,15 @@
         self._remove_oldest_finished()
         return self._answer(ResultCode.OK, record)
 
-    def end(self, end: OrderEnd) -> OrderAnswer | None:
+    def record_result(self, result: OrderEnd) -> OrderAnswer | None:
         """Record the result of an order; only the first result counts."""
-        record = self._records.get(end.number)
+        record = self._records.get(result.number)
         if record is None:
             return None
         if record.state == PENDING:
-            state = DONE if end.done else FAILED
-            record = record._replace(state=state, detail=end.detail)
-            self._records[end.number] = record
+            state = DONE if result.done else FAILED
+            record = record._replace(state=state, detail=result.detail)
+            self._records[result.number] = record
         return self._answer(ResultCode.OK, record)
 
     def find(self, order: str) -> OrderAnswer | None:
@@ -141,7 +141,7 @@
         self._numbers = {record.request.order: record.number for record in records}
 
 
-class OrderGate:
+class OrderDispatcher:
     """Select the orders that a leader may send; times are monotonic milliseconds."""
 
     def __init__(self, concurrent_loads: int):
@@ -149,14 +149,14 @@
         self._in_flight: dict[int, OrderRecord] = {}
         self._leader_since: float | None = None
 
-    def leadership(self, leads: bool, now: float) -> None:
+    def update_leadership(self, is_leader: bool, now: float) -> None:
         """Record whether this replica is the leader."""
-        if not leads:
+        if not is_leader:
             self._leader_since = None
         elif self._leader_since is None:
             self._leader_since = now
 
-    def choose(self, pending: list[OrderRecord], lease_until: float, now: float):
+    def select(self, pending: list[OrderRecord], lease_expires_at: float, now: float):
         """Return the orders to send now; none is returned again while it is in flight.
 
         Model weights are loaded from a store with a rate limit. Since a single leader sends all
@@ -164,9 +164,9 @@
         the loads of the previous one to end, so that the return of a failure domain does not
         trigger a burst of loads.
         """
-        if self._leader_since is None or now >= lease_until:
+        if self._leader_since is None or now >= lease_expires_at:
             return []
-        takeover_complete = now - self._leader_since >= FLIGHT_MS
+        takeover_complete = now - self._leader_since >= ORDER_TIMEOUT_MS
         selected = []
         for record in pending:
             is_load = record.request.action in LOADING_ACTIONS
@@ -183,6 +183,6 @@
     def _loads_in_flight(self) -> int:
         return sum(r.request.action in LOADING_ACTIONS for r in self._in_flight.values())
 
-    def landed(self, number: int) -> None:
+    def mark_finished(self, number: int) -> None:
         """Record that an order is no longer in flight."""
         self._in_flight.pop(number, None)
--- a/siskinspoke/coordination/replica/__init__.py
+++ b/siskinspoke/coordination/replica/__init__.py
@@ -46,7 +46,7 @@
 class Replica(MembershipMixin, ElectionMixin, LeaderMixin, FollowerMixin):
     """Raft state machine of one control replica; times are in monotonic milliseconds."""
 
-    def next_wake(self) -> float:
+    def next_tick_at(self) -> float:
         """Return the time by which ``tick`` must be called next."""
         due = self._next_timer()
         return due if self._join_targets is None else min(due, self._next_join_at)
--- a/siskinspoke/coordination/replica/core.py
+++ b/siskinspoke/coordination/replica/core.py
@@ -8,11 +8,11 @@
 from siskinspoke.coordination.founding import FOUNDER_INCARNATION, Bootstrap
 from siskinspoke.coordination.membership import ADMIT, Learners, Membership
 from siskinspoke.coordination.replica_types import (
-    AskPeers,
     Output,
-    Restored,
+    QueryPeers,
+    RestoredState,
     Role,
-    Start,
+    StartMode,
     SyncMark,
     Times,
 )
@@ -28,10 +28,10 @@
         name: str,
         members: list[str],
         times: Times,
-        restored: Restored,
+        restored: RestoredState,
         rng: random.Random,
         now: float,
-        start: Start = AskPeers(),  # noqa: B008  (frozen dataclass)
+        start: StartMode = QueryPeers(),  # noqa: B008  (frozen dataclass)
     ):
         self.name = name
         self.identity = restored.identity
@@ -62,14 +62,14 @@
         self._pre_vote = False
         self._bootstrap = Bootstrap(name, [item for item in members if item != name], rng, now)
         self._heartbeat_at = now
-        self._leader_heard_at = now
+        self._last_leader_contact_at = now
         self._out = Output()
         self._output_count = 0
         self._restore(restored)
         self._durable_index = self.log.last_index
         self._reset_election_timer(now)
 
-    def _restore(self, restored: Restored) -> None:
+    def _restore(self, restored: RestoredState) -> None:
         if restored.snapshot is not None:
             self.log.reset(restored.snapshot.index, restored.snapshot.term)
             self._membership.reset(restored.snapshot.members)
@@ -91,7 +91,7 @@
     def _peers(self) -> list[str]:
         return [member for member in self.members if member != self.name]
 
-    def set_contacts(self, names: tuple[str, ...]) -> None:
+    def set_join_targets(self, names: tuple[str, ...]) -> None:
         """Set the replicas to send join requests to while no leader contacts this one.
 
         Membership changes are enabled only if this has been called.
@@ -99,9 +99,9 @@
         self._join_targets = names
 
     @property
-    def leader_heard_at(self) -> float:
+    def last_leader_contact_at(self) -> float:
         """Return the time of the last message from a leader; initially the start time."""
-        return self._leader_heard_at
+        return self._last_leader_contact_at
 
     @property
     def admitted(self) -> bool:
--- a/siskinspoke/coordination/replica/elections.py
+++ b/siskinspoke/coordination/replica/elections.py
@@ -124,7 +124,7 @@
         """
         if request.trial or request.handover or self.role is Role.LEADER:
             return False
-        return now - self._leader_heard_at < self._times.election_ms
+        return now - self._last_leader_contact_at < self._times.election_ms
 
     def _has_no_recent_leader_or_vote(self, now: float) -> bool:
         """Return whether the replica neither had contact with a leader nor voted recently.
@@ -133,7 +133,10 @@
         """
         if self.role is Role.LEADER or (self.role is Role.FOLLOWER and self._pending_vote_output):
             return False
-        return now - max(self._leader_heard_at, self._vote_durable_at) >= self._times.election_ms
+        return (
+            now - max(self._last_leader_contact_at, self._vote_durable_at)
+            >= self._times.election_ms
+        )
 
     def _on_vote_reply(self, reply: VoteReply, now: float) -> None:
         self._adopt_commit(reply.commit, reply.commit_term)
--- a/siskinspoke/coordination/replica/following.py
+++ b/siskinspoke/coordination/replica/following.py
@@ -30,7 +30,7 @@
         if self.role is not Role.FOLLOWER or self.leader != sender:
             self._step_down(now)
         self.leader = sender
-        self._leader_heard_at = now
+        self._last_leader_contact_at = now
         self.timer.reset_backoff()
         self._reset_election_timer(now)
         return True
--- a/siskinspoke/coordination/replica/leading.py
+++ b/siskinspoke/coordination/replica/leading.py
@@ -45,7 +45,7 @@
         self._advance_commit(now)
         return entry.index
 
-    def hand_over(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Transfer leadership to the most up-to-date follower.
 
         Without this, a planned restart would block claims and configuration changes for a whole
@@ -154,7 +154,7 @@
             return
         self.propose(ADMIT, {"name": name, "incarnation": progress.incarnation}, now)
 
-    def lease_until(self) -> float:
+    def lease_expires_at(self) -> float:
         """Return the time until which no other replica can be elected; -inf if not the leader.
 
         For an election timeout after hearing from the leader, a majority refuses both pre-votes
@@ -169,18 +169,18 @@
             return math.inf
         return self._followers.leased_from(needed) + self._times.election_ms * LEASE_FRACTION
 
-    def may_read(self) -> bool:
+    def can_serve_reads(self) -> bool:
         """Return whether the commit index covers all entries committed by earlier leaders."""
         return self.role is Role.LEADER and self.log.term_at(self.commit) == self.term
 
-    def heard_since(self, asked_at: float, confirmed_by: str | None = None) -> bool:
+    def confirmed_since(self, since: float, confirmed_by: str | None = None) -> bool:
         """Return whether a majority has followed this leader since a time of its own clock.
 
         If so, no other leader had committed a newer entry by that time, and a read from this
         leader is linearizable. ``confirmed_by`` is a follower that counts as having followed this
         leader since then.
         """
-        return self._followers.confirmed_since(asked_at, len(self.members) // 2, confirmed_by)
+        return self._followers.confirmed_since(since, len(self.members) // 2, confirmed_by)
 
     def is_followed_by(self, name: str, term: int, incarnation: int) -> bool:
         """Return whether a follower in this term with this incarnation is a voting member."""
@@ -188,7 +188,7 @@
             return False
         return self._is_voting_member(name, incarnation)
 
-    def beat_now(self, now: float) -> None:
+    def send_heartbeats(self, now: float) -> None:
         """Send heartbeats immediately, for a read that waits for confirmation by a majority."""
         if self.role is Role.LEADER:
             self._replicate(now, heartbeat=True)
--- a/siskinspoke/coordination/replica/members.py
+++ b/siskinspoke/coordination/replica/members.py
@@ -3,7 +3,7 @@
 from siskinspoke.coordination.founding import FOUNDER_INCARNATION, new_incarnation
 from siskinspoke.coordination.membership import ADD, ADMIT, FOUND, REMOVE, member_to_remove
 from siskinspoke.coordination.replica.core import ReplicaCore
-from siskinspoke.coordination.replica_types import AskPeers, FoundNow, JoinGroup, Role
+from siskinspoke.coordination.replica_types import FoundGroup, JoinGroup, QueryPeers, Role
 from siskinspoke.protocol.replication import Identity, IntroduceReply, Join
 
 JOIN_INTERVAL_MS = 200.0
@@ -14,13 +14,13 @@
 
     def _tick_bootstrap(self, now: float) -> None:
         match self._start:
-            case FoundNow():
+            case FoundGroup():
                 self._set_identity(FOUNDER_INCARNATION, now, tuple(self.members))
             case JoinGroup():
                 self._set_identity(new_incarnation(self._rng), now)
-            case AskPeers() if self._peers:
+            case QueryPeers() if self._peers:
                 self._out.sends.extend(self._bootstrap.due_queries(now))
-            case AskPeers():
+            case QueryPeers():
                 self._set_identity(FOUNDER_INCARNATION, now)
 
     def _request_join(self, now: float) -> None:
@@ -33,7 +33,7 @@
             return
         self._next_join_at = now + JOIN_INTERVAL_MS
         has_leader = (
-            now - self._leader_heard_at < self._times.election_ms and self.leader is not None
+            now - self._last_leader_contact_at < self._times.election_ms and self.leader is not None
         )
         if self.role is Role.LEADER or (has_leader and self.admitted):
             return
--- a/siskinspoke/coordination/replica_types.py
+++ b/siskinspoke/coordination/replica_types.py
@@ -57,12 +57,12 @@
 
 
 @dataclass(frozen=True)
-class AskPeers:
+class QueryPeers:
     """On an empty disk, ask all other members whether their disks are empty too."""
 
 
 @dataclass(frozen=True)
-class FoundNow:
+class FoundGroup:
     """On an empty disk, become a founder, since the settings declare a new group."""
 
 
@@ -71,10 +71,10 @@
     """On an empty disk, ask to join the existing members."""
 
 
-Start = AskPeers | FoundNow | JoinGroup
+StartMode = QueryPeers | FoundGroup | JoinGroup
 
 
-class Restored(NamedTuple):
+class RestoredState(NamedTuple):
     """State restored from disk; without an identity, the data folder is empty."""
 
     identity: Identity | None = None
@@ -85,11 +85,11 @@
     commit: int = 0
 
 
-def restored_from(
+def restore_state(
     identity: Identity | None,
     snapshot: Snapshot | None,
     records: Iterable[HardState | Admitted | Committed | Entry | Checkpoint],
-) -> Restored:
+) -> RestoredState:
     """Return the state of a replica from its journal records in the order of writing.
 
     A snapshot in the journal takes precedence over the ``snapshot`` argument.
@@ -107,7 +107,7 @@
                 commit = max(commit, index)
             case Entry():
                 entries.append(record)
-    return Restored(identity, hard, snapshot, tuple(admitted), tuple(entries), commit)
+    return RestoredState(identity, hard, snapshot, tuple(admitted), tuple(entries), commit)
 
 
 class SyncMark(NamedTuple):
--- a/siskinspoke/coordination/vetting.py
+++ b/siskinspoke/coordination/vetting.py
@@ -27,7 +27,7 @@
     MOVED = "service or address differs from the known one of the same incarnation"
 
 
-def fault_of(
+def announcement_fault(
     announcement: Announcement, known: Announcement | None, services: Set[str] | None
 ) -> AnnouncementFault | None:
     """Return why an announcement is rejected, or None if it is accepted.
--- a/siskinspoke/entry/followers.py
+++ b/siskinspoke/entry/followers.py
@@ -7,7 +7,7 @@
 import trio
 from loguru import logger
 
-from siskinspoke.coordination.configuration import FROM_CONTROL, FROM_DISK
+from siskinspoke.coordination.configuration import SOURCE_CONTROL, SOURCE_DISK
 from siskinspoke.coordination.directory import Heard, ServerRecord
 from siskinspoke.coordination.watchers import watchers
 from siskinspoke.entry.context import EntryContext, now_ms, target_of
@@ -21,7 +21,7 @@
     server_key,
 )
 from siskinspoke.protocol.crashes import CrashSpread, CrashWant
-from siskinspoke.state.files import read_checked, write_atomically
+from siskinspoke.state.files import read_verified, write_atomically
 from siskinspoke.transport.datagrams import DatagramPort
 
 CONFIGURATION_FILE = "configuration.json"
@@ -158,13 +158,13 @@
         if self._file is None:
             return
         self._file.parent.mkdir(parents=True, exist_ok=True)
-        read = read_checked(self._file)
+        read = read_verified(self._file)
         if read.is_error():
             logger.warning("configuration copy refused: {}", read.error.message)
             return
         if read.ok is not None:
             version, document = msgspec.json.decode(read.ok, type=tuple[int, dict])
-            self._context.holder.install(version, document, FROM_DISK)
+            self._context.holder.install(version, document, SOURCE_DISK)
             self._context.apply_limits()
 
     async def run(self) -> None:
@@ -187,7 +187,7 @@
 
     async def _install(self, version: int, document: dict) -> None:
         context = self._context
-        if not context.holder.install(version, document, FROM_CONTROL):
+        if not context.holder.install(version, document, SOURCE_CONTROL):
             context.counters.count("configuration.refused")
             return
         context.apply_limits()
--- a/siskinspoke/state/entry_file.py
+++ b/siskinspoke/state/entry_file.py
@@ -13,7 +13,7 @@
 
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.protocol.feed import EntryPeer
-from siskinspoke.state.files import read_checked, write_atomically
+from siskinspoke.state.files import read_verified, write_atomically
 
 ENTRIES_FILE = "entries.json"
 
@@ -25,7 +25,7 @@
 
 def load_entries(folder: Path) -> Result[list[EntryPeer], Failure]:
     """Return the stored entry VMs, or an empty list if there is no file."""
-    read = read_checked(folder / ENTRIES_FILE)
+    read = read_verified(folder / ENTRIES_FILE)
     if read.is_error():
         return Error(read.error)
     try:
--- a/siskinspoke/state/files.py
+++ b/siskinspoke/state/files.py
@@ -19,7 +19,7 @@
     return FailureError(Failure(code, f"{path}: {error.strerror or error}"))
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(folder: Path) -> None:
     """Sync the directory entries of a folder; a rename may otherwise be lost in a power failure."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -37,12 +37,12 @@
             file.flush()
             os.fsync(file.fileno())
         temporary.replace(path)
-        sync_folder(path.parent)
+        sync_directory(path.parent)
     except OSError as error:
         raise storage_error(path, error) from error
 
 
-def read_checked(path: Path) -> Result[bytes | None, Failure]:
+def read_verified(path: Path) -> Result[bytes | None, Failure]:
     """Return the body of a file, None if it does not exist, or an error if it is corrupt."""
     try:
         data = path.read_bytes()
--- a/siskinspoke/state/journal.py
+++ b/siskinspoke/state/journal.py
@@ -15,7 +15,7 @@
 from expression import Error, Ok, Result
 
 from siskinspoke.core.codes import Failure, ResultCode
-from siskinspoke.state.files import storage_error, sync_folder
+from siskinspoke.state.files import storage_error, sync_directory
 
 MAGIC = b"\xabSJ1"
 LENGTH_BYTES = 4
@@ -95,7 +95,7 @@
                 file.flush()
                 os.fsync(file.fileno())
             temporary.replace(self._path)
-            sync_folder(self._path.parent)
+            sync_directory(self._path.parent)
             self._file.close()
             self._file = self._path.open("ab")
         except OSError as error:
@@ -123,7 +123,7 @@
                 os.fsync(file.fileno())
         journal = Journal(path)
         if not existed:
-            sync_folder(path.parent)
+            sync_directory(path.parent)
     except OSError as error:
         return Error(storage_error(path, error).failure)
     return Ok(OpenedJournal(journal, records))
--- a/siskinspoke/state/replica_store.py
+++ b/siskinspoke/state/replica_store.py
@@ -9,7 +9,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from siskinspoke.coordination.replica_types import Restored, restored_from
+from siskinspoke.coordination.replica_types import RestoredState, restore_state
 from siskinspoke.core.codes import Failure, FailureError, ResultCode
 from siskinspoke.protocol import decode_message, encode_message
 from siskinspoke.protocol.replication import (
@@ -21,7 +21,7 @@
     Identity,
     Snapshot,
 )
-from siskinspoke.state.files import read_checked, storage_error, write_atomically
+from siskinspoke.state.files import read_verified, storage_error, write_atomically
 from siskinspoke.state.journal import Journal, open_journal
 
 IDENTITY_FILE, SNAPSHOT_FILE, JOURNAL_FILE = "identity.json", "snapshot.json", "journal"
@@ -64,7 +64,7 @@
 
 
 def _read_identity(folder: Path, name: str) -> Identity | None:
-    body = _unwrap(read_checked(folder / IDENTITY_FILE))
+    body = _unwrap(read_verified(folder / IDENTITY_FILE))
     if body is None:
         return None
     identity = msgspec.json.decode(body, type=Identity)
@@ -81,21 +81,21 @@
     return decoded.ok
 
 
-def _restore(folder: Path, name: str, bodies: list[bytes]) -> Restored:
+def _restore(folder: Path, name: str, bodies: list[bytes]) -> RestoredState:
     identity = _read_identity(folder, name)
     records = [_decode(item, folder / JOURNAL_FILE) for item in bodies]
     snapshot = None
     if not any(isinstance(record, Checkpoint) for record in records):
-        body = _unwrap(read_checked(folder / SNAPSHOT_FILE))
+        body = _unwrap(read_verified(folder / SNAPSHOT_FILE))
         snapshot = None if body is None else _decode(body, folder / SNAPSHOT_FILE)
-    restored = restored_from(identity, snapshot, records)
+    restored = restore_state(identity, snapshot, records)
     if identity is None and (restored.entries or restored.snapshot is not None):
         message = f"{folder}: log without an identity; empty the folder to start as a new replica"
         raise FailureError(Failure(ResultCode.JOURNAL_CORRUPT, message))
     return restored
 
 
-def open_store(path: str, name: str) -> Result[tuple[ReplicaStore, Restored], Failure]:
+def open_store(path: str, name: str) -> Result[tuple[ReplicaStore, RestoredState], Failure]:
     """Open or create a data folder and return its store and the replica's restored state."""
     folder = Path(path)
     try:
--- a/siskinspoke/state/server_file.py
+++ b/siskinspoke/state/server_file.py
@@ -10,10 +10,10 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from siskinspoke.coordination.vetting import fault_of
+from siskinspoke.coordination.vetting import announcement_fault
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.protocol.announcements import Announcement
-from siskinspoke.state.files import read_checked, write_atomically
+from siskinspoke.state.files import read_verified, write_atomically
 
 SERVERS_FILE = "servers.json"
 
@@ -23,19 +23,19 @@
     write_atomically(folder / SERVERS_FILE, msgspec.json.encode(announcements))
 
 
-class KeptServers(NamedTuple):
+class LoadedServers(NamedTuple):
     """The announcements stored in a file, and the number of invalid entries."""
 
     announcements: list[Announcement]
-    unread: int
+    invalid_count: int
 
 
-def load_servers(folder: Path) -> Result[KeptServers, Failure]:
+def load_servers(folder: Path) -> Result[LoadedServers, Failure]:
     """Return the stored announcements, or none if there is no file.
 
     Invalid entries are skipped and counted.
     """
-    read = read_checked(folder / SERVERS_FILE)
+    read = read_verified(folder / SERVERS_FILE)
     if read.is_error():
         return Error(read.error)
     try:
@@ -43,7 +43,7 @@
     except msgspec.MsgspecError as error:
         return Error(Failure(ResultCode.JOURNAL_CORRUPT, f"{SERVERS_FILE}: {error}"))
     announcements = [item for entry in entries if (item := _decode_entry(entry)) is not None]
-    return Ok(KeptServers(announcements, len(entries) - len(announcements)))
+    return Ok(LoadedServers(announcements, len(entries) - len(announcements)))
 
 
 def _decode_entry(entry: msgspec.Raw) -> Announcement | None:
@@ -52,4 +52,4 @@
     except msgspec.MsgspecError:
         # The caller logs the number of invalid entries.
         return None
-    return None if fault_of(announcement, None, None) else announcement
+    return None if announcement_fault(announcement, None, None) else announcement
--- a/siskinspoke/testing/elastic_group.py
+++ b/siskinspoke/testing/elastic_group.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 from siskinspoke.coordination.replica import Replica
-from siskinspoke.coordination.replica_types import FoundNow, JoinGroup, Role
+from siskinspoke.coordination.replica_types import FoundGroup, JoinGroup, Role
 from siskinspoke.testing.replica_group import TIMES, Disk, InvariantError, ReplicaGroup
 
 FOUNDERS = 3
@@ -32,9 +32,9 @@
             disk.restored(),
             random.Random(self.rng.random()),
             self.now,
-            FoundNow() if found else JoinGroup(),
+            FoundGroup() if found else JoinGroup(),
         )
-        self.replicas[name].set_contacts(self.contacts)
+        self.replicas[name].set_join_targets(self.contacts)
         self.applied[name] = list(disk.snapshot.document["applied"]) if disk.snapshot else []
 
     def settled(self) -> bool:
@@ -65,7 +65,7 @@
         self.start(self.successor)
         for replica in self.replicas.values():
             if replica is not None:
-                replica.set_contacts(self.contacts)
+                replica.set_join_targets(self.contacts)
 
     def deliver(self, choice: int) -> None:
         """Deliver one message; those to a machine that is gone are lost."""
@@ -88,7 +88,7 @@
         """
         super().check()
         for replica in self.replicas.values():
-            if replica is not None and replica.role is Role.LEADER and replica.may_read():
+            if replica is not None and replica.role is Role.LEADER and replica.can_serve_reads():
                 members = replica.members
                 dropped = self.gone not in members or len(members) % 2
                 if dropped and self.successor in members:
--- a/siskinspoke/testing/mutants.py
+++ b/siskinspoke/testing/mutants.py
@@ -12,7 +12,7 @@
 
 from expression import Ok
 
-from siskinspoke.coordination.configuration import ConfigurationHolder, InForce
+from siskinspoke.coordination.configuration import ActiveConfiguration, ConfigurationHolder
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.entry import calls, claiming
 from siskinspoke.entry.backend import Backend
@@ -62,7 +62,7 @@
 
     def install(self, version, document, source):
         current = self._in_force
-        self._in_force = InForce(version, current.configuration, document, source)
+        self._in_force = ActiveConfiguration(version, current.configuration, document, source)
         return True
 
     ConfigurationHolder.install = install
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -10,7 +10,7 @@
 
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica.leading import NOOP
-from siskinspoke.coordination.replica_types import Output, Restored, Role, Times, restored_from
+from siskinspoke.coordination.replica_types import Output, RestoredState, Role, Times, restore_state
 from siskinspoke.protocol.replication import (
     Admitted,
     Committed,
@@ -51,9 +51,9 @@
         else:
             self.records.extend(out.records)
 
-    def restored(self) -> Restored:
+    def restored(self) -> RestoredState:
         """Return what a restarted replica finds."""
-        return restored_from(self.identity, self.snapshot, self.records)
+        return restore_state(self.identity, self.snapshot, self.records)
 
 
 class ReplicaGroup:
--- a/tests/control/slow_group.py
+++ b/tests/control/slow_group.py
@@ -110,7 +110,7 @@
         disk = self.disks[name]
         rng = random.Random(self._rng.random())
         replica = Replica(name, [], TIMES, disk.restored(), rng, virtual_now_ms(), JoinGroup())
-        replica.set_contacts(tuple(self.names))
+        replica.set_join_targets(tuple(self.names))
         task = SlowTask(
             replica,
             MemoryStore(disk),
@@ -152,7 +152,7 @@
         """Return the task of the leader with an unexpired lease, if any."""
         now = virtual_now_ms()
         for task in self.tasks.values():
-            if task.replica.may_read() and task.replica.lease_until() > now:
+            if task.replica.can_serve_reads() and task.replica.lease_expires_at() > now:
                 return task
         return None
 
--- a/tests/control/test_reads.py
+++ b/tests/control/test_reads.py
@@ -7,7 +7,7 @@
 from siskinspoke.control.replica_events import Pending
 from siskinspoke.control.replica_task import ReplicaTask
 from siskinspoke.coordination.replica import Replica
-from siskinspoke.coordination.replica_types import JoinGroup, Restored, Times
+from siskinspoke.coordination.replica_types import JoinGroup, RestoredState, Times
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol.replication import Entry
 
@@ -16,7 +16,7 @@
 
 def make_task() -> ReplicaTask:
     """Return the task of a replica that nobody speaks to."""
-    replica = Replica("r0", [], TIMES, Restored(), random.Random(1), 0.0, JoinGroup())
+    replica = Replica("r0", [], TIMES, RestoredState(), random.Random(1), 0.0, JoinGroup())
     return ReplicaTask(replica, None, {}, Counters(), 100)
 
 
--- a/tests/control/test_slow_disks.py
+++ b/tests/control/test_slow_disks.py
@@ -115,7 +115,7 @@
             group.start()
             began = trio.current_time()
             with trio.move_on_after(60):
-                while not any(task.replica.may_read() for task in group.tasks.values()):
+                while not any(task.replica.can_serve_reads() for task in group.tasks.values()):
                     await trio.sleep(0.1)
             elected = trio.current_time() - began
             await trio.sleep(5)
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from siskinspoke.coordination.claims import MAX_STORED_BODY_CHARS, ClaimBook
+from siskinspoke.coordination.claims import MAX_STORED_BODY_CHARS, ClaimTable
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.protocol.claims import ClaimRequest, SettleRequest, Target
 
@@ -22,27 +22,27 @@
 
     def test_concurrent_claim_returns_current_owner(self):
         """A client retries through another VM while the first attempt is running."""
-        table = ClaimBook()
+        table = ClaimTable()
         assert table.claim(claim_request(), 0).code == ResultCode.OK
         answer = table.claim(claim_request(owner="entry-2.1"), 1)
         assert (answer.code, answer.target) == (ResultCode.IN_PROGRESS, TARGET)
 
     def test_retry_by_owner_returns_same_attempt(self):
         """The answer to a claim was lost, and the VM retries with the new leader."""
-        table = ClaimBook()
+        table = ClaimTable()
         assert (
             table.claim(claim_request(), 0).attempt == table.claim(claim_request(), 1).attempt == 1
         )
 
     def test_released_key_gets_a_new_attempt(self):
-        table = ClaimBook()
+        table = ClaimTable()
         table.claim(claim_request(), 0)
         table.settle(SettleRequest("c/k", 1, False, 0, ""), 1)
         assert table.claim(claim_request(owner="entry-2.1"), 2).attempt == 2
 
     def test_late_settlement_of_an_old_attempt_is_rejected(self):
         """A suspended VM resumes and settles an attempt that another VM has released."""
-        table = ClaimBook()
+        table = ClaimTable()
         table.claim(claim_request(), 0)
         table.settle(SettleRequest("c/k", 1, False, 0, ""), 1)
         table.claim(claim_request(owner="entry-2.1"), 2)
@@ -51,14 +51,14 @@
         assert table.claim(claim_request(owner="entry-3.1"), 4).code == ResultCode.IN_PROGRESS
 
     def test_result_of_the_first_attempt_is_stored(self):
-        table = ClaimBook()
+        table = ClaimTable()
         table.claim(claim_request(), 0)
         table.settle(SettleRequest("c/k", 1, True, 200, "done"), 1)
         answer = table.claim(claim_request(owner="entry-2.1"), 2)
         assert (answer.code, answer.body) == (ResultCode.ALREADY_RAN, "done")
 
     def test_long_result_is_not_stored(self):
-        table = ClaimBook()
+        table = ClaimTable()
         table.claim(claim_request(), 0)
         table.settle(SettleRequest("c/k", 1, True, 200, "x" * (MAX_STORED_BODY_CHARS + 1)), 1)
         assert table.claim(claim_request(owner="entry-2.1"), 2).body == ""
@@ -69,17 +69,17 @@
 
     def test_expired_key_is_rejected_and_deleted(self):
         """Guards against a second execution by a retry that arrives after the key has expired."""
-        table = ClaimBook()
+        table = ClaimTable()
         table.claim(claim_request(), 0)
         assert table.claim(claim_request(owner="entry-2.1"), 5_000).code == ResultCode.KEY_EXPIRED
         assert len(table) == 0
 
     def test_key_with_excessive_lifetime_is_rejected(self):
-        answer = ClaimBook().claim(claim_request(expires=10**9), 0)
+        answer = ClaimTable().claim(claim_request(expires=10**9), 0)
         assert answer.code == ResultCode.INVALID_KEY
 
     def test_snapshot_contains_all_claims(self):
-        table, copy = ClaimBook(), ClaimBook()
+        table, copy = ClaimTable(), ClaimTable()
         table.claim(claim_request(), 0)
         copy.load(table.to_document())
         assert copy.claim(claim_request(owner="entry-2.1"), 1).code == ResultCode.IN_PROGRESS
@@ -91,7 +91,7 @@
 
     def __init__(self):
         super().__init__()
-        self.table = ClaimBook()
+        self.table = ClaimTable()
         self.clock = 0
         self.granted: dict[str, int] = {}
         self.ran: dict[str, int] = {}
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -6,7 +6,7 @@
 
 from siskinspoke.coordination.membership import MEMBER_TIMEOUT_MS, member_to_remove
 from siskinspoke.coordination.replica import Replica
-from siskinspoke.coordination.replica_types import FoundNow, JoinGroup, Restored, Role
+from siskinspoke.coordination.replica_types import FoundGroup, JoinGroup, RestoredState, Role
 from siskinspoke.protocol.replication import AppendReply, Join
 from siskinspoke.testing.elastic_group import ElasticGroup, run_elastic_schedule
 from siskinspoke.testing.replica_group import TIMES, numbers
@@ -45,8 +45,8 @@
         A seed loses its disk while it is partitioned from the two others and restarts with an empty
         data folder. As a founder, it would accept changes that the others never receive.
         """
-        replica = Replica("r0", [], TIMES, Restored(), random.Random(1), 0.0, JoinGroup())
-        replica.set_contacts(("r0", "r1", "r2"))
+        replica = Replica("r0", [], TIMES, RestoredState(), random.Random(1), 0.0, JoinGroup())
+        replica.set_join_targets(("r0", "r1", "r2"))
         for now in range(0, 5_000, 50):
             replica.tick(float(now))
         assert replica.role is not Role.LEADER
@@ -54,11 +54,13 @@
 
     def test_founders_are_restored_from_disk(self):
         """Guards against a founder that restarts with changed seeds and loses its group."""
-        replica = Replica("r0", ["r0", "r1"], TIMES, Restored(), random.Random(1), 0.0, FoundNow())
+        replica = Replica(
+            "r0", ["r0", "r1"], TIMES, RestoredState(), random.Random(1), 0.0, FoundGroup()
+        )
         replica.tick(0.0)
         identity = replica.take_output().identity
         restarted = Replica(
-            "r0", ["r7"], TIMES, Restored(identity), random.Random(1), 0.0, JoinGroup()
+            "r0", ["r7"], TIMES, RestoredState(identity), random.Random(1), 0.0, JoinGroup()
         )
         assert set(restarted.members) == {"r0", "r1"}
 
--- a/tests/coordination/test_replica.py
+++ b/tests/coordination/test_replica.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from siskinspoke.coordination.replica import Replica
-from siskinspoke.coordination.replica_types import Refusal, Restored, Role
+from siskinspoke.coordination.replica_types import Refusal, RestoredState, Role
 from siskinspoke.protocol.replication import (
     Admitted,
     Append,
@@ -100,7 +100,7 @@
 def make_follower(name="r0", hard=FIRST_TERM, entries=(), admitted=()):
     """Return a replica of a group of three that was restored from disk."""
     identity = Identity(name, 1)
-    restored = Restored(identity, hard, None, admitted, entries)
+    restored = RestoredState(identity, hard, None, admitted, entries)
     return Replica(name, ["r0", "r1", "r2"], TIMES, restored, random.Random(1), 0.0)
 
 
@@ -217,13 +217,13 @@
     def test_read_forwarded_by_a_follower_confirms_a_leader_of_three(self):
         leader, name, now = self.make_leader(3)
         assert leader.is_followed_by(name, leader.term, 1)
-        assert leader.heard_since(now, name)
-        assert not leader.heard_since(now)
+        assert leader.confirmed_since(now, name)
+        assert not leader.confirmed_since(now)
 
     def test_read_forwarded_by_one_follower_does_not_confirm_a_leader_of_five(self):
         """Guards against stale reads from a leader that has lost its majority."""
         leader, name, now = self.make_leader(5)
-        assert not leader.heard_since(now, name)
+        assert not leader.confirmed_since(now, name)
 
     def test_read_forwarded_from_another_term_or_disk_confirms_nothing(self):
         """Guards against counting a follower that has elected another leader or lost its disk."""
@@ -324,6 +324,6 @@
                 holders = [
                     name
                     for name, replica in group.replicas.items()
-                    if replica is not None and replica.lease_until() > group.now
+                    if replica is not None and replica.lease_expires_at() > group.now
                 ]
                 assert len(holders) <= 1, f"seed {seed}: {holders}"
--- a/tests/coordination/test_vetting.py
+++ b/tests/coordination/test_vetting.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinspoke.bench.slopes import announcement
-from siskinspoke.coordination.vetting import AnnouncementFault, fault_of
+from siskinspoke.coordination.vetting import AnnouncementFault, announcement_fault
 
 VALID = announcement(1, 5, "sala-a")._replace(host="10.0.0.9", port=80)
 SERVICES = {VALID.service}
@@ -13,8 +13,8 @@
     """Each invalid announcement is rejected with the matching reason."""
 
     def test_valid(self):
-        assert fault_of(VALID, None, SERVICES) is None
-        assert fault_of(VALID, None, None) is None
+        assert announcement_fault(VALID, None, SERVICES) is None
+        assert announcement_fault(VALID, None, None) is None
 
     @pytest.mark.parametrize(
         ("changes", "fault"),
@@ -32,7 +32,7 @@
         ],
     )
     def test_fault(self, changes, fault):
-        assert fault_of(VALID._replace(**changes), None, SERVICES) is fault
+        assert announcement_fault(VALID._replace(**changes), None, SERVICES) is fault
 
 
 class TestKnownServers:
@@ -44,11 +44,11 @@
         The program announces the name of a healthy server with its own address.
         """
         foreign = VALID._replace(host="10.0.0.66", seq=99)
-        assert fault_of(foreign, VALID, SERVICES) is AnnouncementFault.MOVED
+        assert announcement_fault(foreign, VALID, SERVICES) is AnnouncementFault.MOVED
 
     def test_address_may_change_with_a_new_incarnation(self):
         moved = VALID._replace(host="10.0.0.66", incarnation=VALID.incarnation + 1)
-        assert fault_of(moved, VALID, SERVICES) is None
+        assert announcement_fault(moved, VALID, SERVICES) is None
 
     def test_server_replaces_a_foreign_announcement(self):
         """Guards against a server locked out by a foreign announcement under its name.
@@ -56,8 +56,8 @@
         The announcement was accepted before the first configuration, when services were unknown.
         """
         foreign = VALID._replace(service="unknown", host="10.0.0.66")
-        assert fault_of(VALID, foreign, SERVICES) is None
+        assert announcement_fault(VALID, foreign, SERVICES) is None
 
     def test_server_of_a_removed_service_can_leave(self):
         """Guards against ignoring a leaving server whose service was removed."""
-        assert fault_of(VALID._replace(leaving=True, seq=6), VALID, {"other"}) is None
+        assert announcement_fault(VALID._replace(leaving=True, seq=6), VALID, {"other"}) is None
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -5,7 +5,7 @@
 import pytest
 
 from siskinspoke.core.codes import FailureError, ResultCode
-from siskinspoke.state.files import read_checked, write_atomically
+from siskinspoke.state.files import read_verified, write_atomically
 from siskinspoke.state.journal import Journal, open_journal
 
 RECORDS = [b"first", b"second record", b"third"]
@@ -64,7 +64,7 @@
         path = tmp_path / "state"
         write_atomically(path, b"content")
         path.write_bytes(path.read_bytes()[:-1] + b"x")
-        assert read_checked(path).error.code is ResultCode.JOURNAL_CORRUPT
+        assert read_verified(path).error.code is ResultCode.JOURNAL_CORRUPT
 
 
 class TestStorageErrors:
--- a/tests/state/test_replica_store.py
+++ b/tests/state/test_replica_store.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from siskinspoke.coordination.replica_types import Restored
+from siskinspoke.coordination.replica_types import RestoredState
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.protocol import encode_message
 from siskinspoke.protocol.replication import Admitted, Entry, HardState, Identity, Snapshot
@@ -99,7 +99,7 @@
         _, restored = open_store(str(tmp_path / "crashed"), "control-a").ok
         assert restored in (old, new)
 
-    def _write(self, folder: Path, snapshot: bool) -> Restored:
+    def _write(self, folder: Path, snapshot: bool) -> RestoredState:
         store, _ = open_store(str(folder), "control-a").ok
         store.save_identity(Identity("control-a", 1))
         store.append(list(self.OLD_RECORDS))
--- a/tests/state/test_server_file.py
+++ b/tests/state/test_server_file.py
@@ -28,7 +28,7 @@
         write_atomically(tmp_path / SERVERS_FILE, data)
         loaded = load_servers(tmp_path).ok
         assert loaded.announcements == valid
-        assert loaded.unread == 3
+        assert loaded.invalid_count == 3
 
     def test_corrupt_file(self, tmp_path):
         save_servers(tmp_path, [announcement(1, 3, "sala-a")])
