--- a/siskinspoke/coordination/configuration.py
+++ b/siskinspoke/coordination/configuration.py
@@ -1,16 +1,16 @@
-"""The configuration that a process has in force; its version never goes back."""
+"""Active configuration of a process; its version never decreases."""
 
 from typing import NamedTuple
 
 from siskinspoke.conf import Configuration, configuration_from
 
-FROM_FILES = "files"
-FROM_DISK = "disk"
-FROM_CONTROL = "control"
+SOURCE_FILES = "files"
+SOURCE_DISK = "disk"
+SOURCE_CONTROL = "control"
 
 
-class InForce(NamedTuple):
-    """A configuration, its version, and where it came from."""
+class ActiveConfiguration(NamedTuple):
+    """A configuration with its version and source."""
 
     version: int
     configuration: Configuration
@@ -19,26 +19,26 @@
 
 
 class ConfigurationHolder:
-    """Hold what is in force; refuse what is older.
+    """Store the active configuration and reject older versions.
 
-    A control replica that lags, or one restarted from an old snapshot, may offer an older
-    version to this process; installing it would undo an accepted change.
+    A control replica that lags, or that restarted from an old snapshot, may offer an older version
+    to this process. Installing it would revert an accepted change.
     """
 
     def __init__(self, configuration: Configuration, document: dict):
-        self._in_force = InForce(0, configuration, document, FROM_FILES)
+        self._in_force = ActiveConfiguration(0, configuration, document, SOURCE_FILES)
 
     @property
-    def current(self) -> InForce:
-        """Return what is in force."""
+    def current(self) -> ActiveConfiguration:
+        """Return the active configuration."""
         return self._in_force
 
     def install(self, version: int, document: dict, source: str) -> bool:
-        """Put a newer valid configuration in force; False if it is not newer or not valid."""
+        """Activate a configuration; return False if it is not newer or not valid."""
         if version <= self._in_force.version:
             return False
-        read = configuration_from(document)
-        if read.is_error():
+        parsed = configuration_from(document)
+        if parsed.is_error():
             return False
-        self._in_force = InForce(version, read.ok, document, source)
+        self._in_force = ActiveConfiguration(version, parsed.ok, document, source)
         return True
--- a/siskinspoke/coordination/replica/core.py
+++ b/siskinspoke/coordination/replica/core.py
@@ -1,18 +1,18 @@
-"""What one control replica holds, whatever its role: identity, term, log, commit, members."""
+"""Replica state shared by all roles: identity, term, log, commit index and members."""
 
 import math
 import random
 
 from siskinspoke.coordination.election_timer import ElectionTimer
 from siskinspoke.coordination.followers import Followers
-from siskinspoke.coordination.founding import FOUNDER, Founding
+from siskinspoke.coordination.founding import FOUNDER_INCARNATION, Bootstrap
 from siskinspoke.coordination.membership import ADMIT, Learners, Membership
 from siskinspoke.coordination.replica_types import (
-    AskPeers,
     Output,
-    Restored,
+    QueryPeers,
+    RestoredState,
     Role,
-    Start,
+    StartMode,
     SyncMark,
     Times,
 )
@@ -21,17 +21,17 @@
 
 
 class ReplicaCore:
-    """The state of a replica, and what every role does with it; times are in milliseconds."""
+    """State of a replica and the operations common to all roles; times are in milliseconds."""
 
     def __init__(
         self,
         name: str,
         members: list[str],
         times: Times,
-        restored: Restored,
+        restored: RestoredState,
         rng: random.Random,
         now: float,
-        start: Start = AskPeers(),  # noqa: B008  (it is frozen)
+        start: StartMode = QueryPeers(),  # noqa: B008  (frozen dataclass)
     ):
         self.name = name
         self.identity = restored.identity
@@ -44,39 +44,39 @@
         self.snapshot = restored.snapshot
         self.log = ReplicatedLog()
         self._start = start
-        self._membership = Membership(dict.fromkeys(members, FOUNDER))
+        self._membership = Membership(dict.fromkeys(members, FOUNDER_INCARNATION))
         self._learners = Learners()
-        self._contacts: tuple[str, ...] | None = None
-        self._join_at = now
+        self._join_targets: tuple[str, ...] | None = None
+        self._next_join_at = now
         self._voted_for = restored.hard.voted_for
         self._times = times
         self._rng = rng
         self.timer = ElectionTimer(times, rng)
         self._followers: Followers | None = None
         self._votes: set[str] = set()
-        self._trial_votes: set[str] = set()
+        self._pre_votes: set[str] = set()
         self._candidate_term = -1
         self._pending_vote_output = 0
         self._vote_durable_at = -math.inf
         self._refusals: dict[str, str] = {}
-        self._trial = False
-        self._founding = Founding(name, [item for item in members if item != name], rng, now)
+        self._pre_vote = False
+        self._bootstrap = Bootstrap(name, [item for item in members if item != name], rng, now)
         self._heartbeat_at = now
-        self._leader_heard_at = now
+        self._last_leader_contact_at = now
         self._out = Output()
         self._output_count = 0
         self._restore(restored)
         self._durable_index = self.log.last_index
-        self._rearm(now)
+        self._reset_election_timer(now)
 
-    def _restore(self, restored: Restored) -> None:
+    def _restore(self, restored: RestoredState) -> None:
         if restored.snapshot is not None:
             self.log.reset(restored.snapshot.index, restored.snapshot.term)
             self._membership.reset(restored.snapshot.members)
             self.commit = restored.snapshot.index
         for entry in restored.entries:
             self.log.put(entry)
-        self._membership.follow(self.log)
+        self._membership.update(self.log)
         for item in restored.admitted:
             self._membership.admit(item)
             self._commit_to(min(item.index, self.log.last_index))
@@ -84,53 +84,55 @@
 
     @property
     def members(self) -> dict[str, int]:
-        """Return the incarnation of each member's disk."""
+        """Return the current members and the disk incarnation of each."""
         return self._membership.current
 
     @property
     def _peers(self) -> list[str]:
         return [member for member in self.members if member != self.name]
 
-    def set_contacts(self, names: tuple[str, ...]) -> None:
-        """Name replicas to ask for a place where no leader speaks to this one.
+    def set_join_targets(self, names: tuple[str, ...]) -> None:
+        """Set the replicas to send join requests to while no leader contacts this one.
 
-        Only with contacts does the group change its members.
+        Membership changes are enabled only if this has been called.
         """
-        self._contacts = names
+        self._join_targets = names
 
     @property
-    def leader_heard_at(self) -> float:
-        """Return when a leader was last heard from; initially the start time of this replica."""
-        return self._leader_heard_at
+    def last_leader_contact_at(self) -> float:
+        """Return the time of the last message from a leader; initially the start time."""
+        return self._last_leader_contact_at
 
     @property
     def admitted(self) -> bool:
-        """Tell whether this replica's votes and acknowledgements count."""
-        return self.identity is not None and self._counts(self.name, self.identity.incarnation)
+        """Return whether this replica's votes and acknowledgements count."""
+        return self.identity is not None and self._is_voting_member(
+            self.name, self.identity.incarnation
+        )
 
     @property
     def fresh(self) -> bool:
-        """Tell whether this replica can be a founder that has neither a term nor a log."""
-        founder = self.identity is None or self.identity.incarnation == FOUNDER
+        """Return whether this replica may be a founder and has neither a term nor a log."""
+        founder = self.identity is None or self.identity.incarnation == FOUNDER_INCARNATION
         return founder and self.term == 0 and self.log.last_index == 0
 
-    def _counts(self, name: str, incarnation: int) -> bool:
+    def _is_voting_member(self, name: str, incarnation: int) -> bool:
         return self.members.get(name) == incarnation
 
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self.members)
 
-    def _rearm(self, now: float) -> None:
+    def _reset_election_timer(self, now: float) -> None:
         self._pending_vote_output = 0
         self._election_at = now + self.timer.follower_timeout(now)
 
     def _suspend_elections_until_vote_durable(self) -> None:
-        """Start no election until the vote in the next output is durable."""
+        """Disable the election timeout until the vote in the next output is durable."""
         self._pending_vote_output = self._output_count + 1
         self._election_at = math.inf
 
     def _resume_elections_if_vote_durable(self, mark: SyncMark, now: float) -> None:
-        """Start the election timeout if the sync up to ``mark`` covers the last vote."""
+        """Restart the election timeout if the sync up to ``mark`` covers the last vote."""
         if self._pending_vote_output and mark.number >= self._pending_vote_output:
             self._pending_vote_output = 0
             self._election_at = now + self.timer.vote_timeout(now)
@@ -138,19 +140,19 @@
                 self._vote_durable_at = now
 
     def take_output(self) -> Output:
-        """Return what has to be done since the last call."""
+        """Return and clear the actions accumulated since the last call."""
         out, self._out = self._out, Output()
         self._output_count += 1
         out.mark = SyncMark(self._output_count, self.log.last_index, self.log.last_term)
         return out
 
     def _advance_durable(self, mark: SyncMark) -> None:
-        """Treat entries up to ``mark`` as durable unless they have been replaced since."""
+        """Mark entries up to ``mark`` as durable unless they have been replaced since."""
         if self.log.term_at(mark.index) == mark.term:
             self._durable_index = max(self._durable_index, mark.index)
 
     def _put_entry(self, entry: Entry) -> None:
-        """Put an entry into the log and queue its record for writing."""
+        """Store an entry in the log and queue its record for writing."""
         self._durable_index = min(self._durable_index, entry.index - 1)
         self.log.put(entry)
         self._out.records.append(entry)
@@ -164,9 +166,9 @@
         self.role = Role.FOLLOWER
         self.leader = None
         self._votes.clear()
-        self._trial_votes.clear()
+        self._pre_votes.clear()
         self._candidate_term = -1
-        self._rearm(now)
+        self._reset_election_timer(now)
 
     def _commit_to(self, index: int) -> None:
         for entry in self.log.between(self.commit + 1, index):
@@ -176,27 +178,27 @@
         self.commit = max(self.commit, index)
 
     def _admit(self, admitted: Admitted) -> None:
-        """Count a replaced disk from now on, also after a restart.
+        """Count the votes of a replaced disk from now on, including after a restart.
 
-        Without the record a restarted replica would not count the disk until it hears a
-        leader, and two such replicas could elect none.
+        Without the record, a restarted replica would not count the disk until it received a
+        message from a leader, and two such replicas could not elect one.
         """
         if self._membership.admit(admitted):
             self._out.records.append(admitted)
 
     def persistent_records(self) -> list[HardState | Admitted | Committed | Entry]:
-        """Return all that the journal must hold beside the snapshot."""
+        """Return the records that the journal must contain in addition to the snapshot."""
         entries = self.log.between(self.log.base_index + 1, self.log.last_index)
         admitted = self._membership.admitted
         hard = HardState(self.term, self._voted_for)
         return [hard, *admitted, *entries, Committed(self.commit)]
 
     def compact(self, index: int, document: dict) -> Snapshot:
-        """Replace the log up to an applied index by a snapshot of the state there."""
-        members = self._membership.at(self.log, index)
+        """Replace the log up to an applied index with a snapshot of the state at that index."""
+        members = self._membership.members_at(self.log, index)
         snapshot = Snapshot(index, self.log.term_at(index), members, document)
         self.snapshot = snapshot
         self.log.compact(index)
         self._membership.reset(members)
-        self._membership.follow(self.log)
+        self._membership.update(self.log)
         return snapshot
--- a/tests/coordination/test_replica.py
+++ b/tests/coordination/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the control replicas' decisions under schedules of faults."""
+"""Tests of control replicas under randomized fault schedules."""
 
 import random
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from siskinspoke.coordination.replica import Replica
-from siskinspoke.coordination.replica_types import Refusal, Restored, Role
+from siskinspoke.coordination.replica_types import Refusal, RestoredState, Role
 from siskinspoke.protocol.replication import (
     Admitted,
     Append,
@@ -32,10 +32,10 @@
 
 
 class TestSchedules:
-    """Kills, emptied disks, freezes, cuts, lost and doubled messages, in any order.
+    """Crashes, erased disks, suspensions, partitions, and lost or duplicated messages.
 
-    A user would see an accepted configuration revert, or a debtor get two letters, if two
-    replicas led one term or an accepted command were lost.
+    Guards against two leaders in one term and against the loss of a committed command, either of
+    which could revert an accepted configuration or execute a non-idempotent request twice.
     """
 
     @pytest.mark.parametrize("count", [3, 5])
@@ -50,22 +50,22 @@
         assert run_schedule(3, 0, iter(steps)).settled()
 
 
-class CountsForgottenDisks(Replica):
-    """Mutant: an emptied disk counts at once."""
+class CountsErasedDisks(Replica):
+    """Mutant: an erased disk is counted immediately."""
 
-    def _counts(self, name, incarnation):
+    def _is_voting_member(self, name, incarnation):
         return True
 
 
-class ForgetsItsVote(Replica):
-    """Mutant: term and vote are not kept on disk."""
+class DoesNotPersistVote(Replica):
+    """Mutant: term and vote are not written to disk."""
 
     def _set_term(self, term, voted_for=""):
         self.term, self._voted_for = term, voted_for
 
 
-class VotesForShorterLogs(Replica):
-    """Mutant: a vote is given whatever log the candidate has."""
+class IgnoresCandidateLog(Replica):
+    """Mutant: a vote is granted even if the candidate's log is less up to date."""
 
     def _refusal_reason(self, request, now):
         granted = request.trial or (
@@ -74,19 +74,19 @@
         return None if granted else Refusal.VOTED
 
 
-class FoundsAgain(Replica):
-    """Mutant: an emptied disk believes that the whole system is new."""
+class BootstrapsAgain(Replica):
+    """Mutant: a replica with an erased disk becomes a founder again."""
 
     def _on_introduce_reply(self, reply, now):
         if self.role is Role.NEW:
-            self._become_known(1, now)
+            self._set_identity(1, now)
 
 
 class TestMutants:
-    """Each guard switched off must make some schedule fail."""
+    """Disabling any safety check must make some schedule fail."""
 
     @pytest.mark.parametrize(
-        "mutant", [CountsForgottenDisks, ForgetsItsVote, VotesForShorterLogs, FoundsAgain]
+        "mutant", [CountsErasedDisks, DoesNotPersistVote, IgnoresCandidateLog, BootstrapsAgain]
     )
     def test_schedules_catch(self, mutant):
         with pytest.raises(InvariantError):
@@ -97,10 +97,10 @@
 FIRST_TERM = HardState(1, "")
 
 
-def follower(name="r0", hard=FIRST_TERM, entries=(), admitted=()):
-    """Return a replica of three that was restarted from a disk."""
+def make_follower(name="r0", hard=FIRST_TERM, entries=(), admitted=()):
+    """Return a replica of a group of three that was restored from disk."""
     identity = Identity(name, 1)
-    restored = Restored(identity, hard, None, admitted, entries)
+    restored = RestoredState(identity, hard, None, admitted, entries)
     return Replica(name, ["r0", "r1", "r2"], TIMES, restored, random.Random(1), 0.0)
 
 
@@ -108,10 +108,9 @@
     """Votes and leadership."""
 
     def test_isolated_leader_steps_down(self):
-        """An operator asks a leader that a silent cut has isolated.
+        """Guards against two replicas that act as leader for as long as a partition lasts.
 
-        It still believes; the others elect anew.  Without the count of who was heard, two
-        would answer as leaders for as long as the cut lasts.
+        The isolated leader gets no error, while the others elect a new leader.
         """
         group = ReplicaGroup(3, 1)
         group.heal(3_000)
@@ -121,35 +120,34 @@
         group.pass_time(TIMES.election_ms + 1)
         assert group.replicas[name].role is not Role.LEADER
 
-    def test_lower_term_with_longer_log_can_lead(self):
-        """After the leader's disk is lost, the two others refuse each other forever.
+    def test_replica_with_longer_log_adopts_higher_term(self):
+        """Guards against two replicas that refuse each other's votes forever.
 
-        One has the longer log and the lower term, the other the reverse: trial votes do not
-        raise terms, so each refuses the other until the reply tells the voter's term.
+        After the leader's disk is lost, one has the longer log and the other the higher term.
+        Pre-votes do not increase terms, so the candidate must adopt the term in the reply.
         """
-        replica = follower(hard=HardState(1, ""), entries=(Entry(1, 1, "noop", None),))
+        replica = make_follower(hard=HardState(1, ""), entries=(Entry(1, 1, "noop", None),))
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 2, False, True, 0, 0), 10_001)
         assert replica.term == 2
 
     def test_restart_keeps_the_admission_of_a_replaced_disk(self):
-        """A VM restarts just after a neighbour's disk was replaced, and the third one is lost.
+        """Guards against a group of two that cannot elect a leader.
 
-        Only the restarted VM knew that the new disk counts; if it forgot, or could not say so
-        with its votes, the two that are left would refuse each other.
+        Only the restarted VM knew that the replaced disk of another VM is admitted, and the third
+        VM is lost. If it did not restore this, and pass it on with its votes, the two remaining
+        replicas would refuse each other's votes.
         """
         admit = Entry(1, 1, "admit", {"name": "r1", "incarnation": 77})
-        replica = follower(entries=(admit,), admitted=(Admitted("r1", 77, 1),))
+        replica = make_follower(entries=(admit,), admitted=(Admitted("r1", 77, 1),))
         assert replica.members["r1"] == 77
         assert replica.commit == 1
 
-    def test_vote_is_given_once_in_a_term(self):
-        """Two candidates of one term ask the same replica, which restarted in between."""
-        replica = follower(hard=HardState(5, "r1"))
-        group_request = {"incarnation": 1, "term": 5, "last_index": 9, "last_term": 5}
-        replica.receive(
-            VoteRequest("r2", **group_request, trial=False, commit=0, commit_term=0), 10_000
-        )
+    def test_one_vote_per_term(self):
+        """Guards against a second vote in the same term after a restart of the voter."""
+        replica = make_follower(hard=HardState(5, "r1"))
+        fields = {"incarnation": 1, "term": 5, "last_index": 9, "last_term": 5}
+        replica.receive(VoteRequest("r2", **fields, trial=False, commit=0, commit_term=0), 10_000)
         ((_, reply),) = replica.take_output().sends
         assert not reply.granted
 
@@ -157,24 +155,24 @@
 class TestSlowElections:
     """Elections that take longer than the election timeout."""
 
-    def candidate(self) -> Replica:
+    def make_candidate(self) -> Replica:
         """Return a candidate of term 2 whose own vote is durable."""
-        replica = follower()
+        replica = make_follower()
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 1, True, True, 0, 0), 10_001)
         replica.synced(replica.take_output().mark, 10_002)
         assert replica.term == 2
         return replica
 
-    def test_vote_counts_after_the_next_trial_has_begun(self):
+    def test_vote_counts_after_the_next_pre_vote_has_started(self):
         """Guards against repeated elections that discard votes arriving after the timeout."""
-        replica = self.candidate()
+        replica = self.make_candidate()
         replica.tick(20_000)
         replica.receive(VoteReply("r1", 1, 2, 2, True, False, 0, 0), 20_001)
         assert replica.role is Role.LEADER
 
     def test_vote_of_an_earlier_term_does_not_count(self):
-        replica = self.candidate()
+        replica = self.make_candidate()
         replica.receive(VoteReply("r2", 1, 3, 3, False, True, 0, 0), 10_003)
         replica.tick(20_000)
         replica.receive(VoteReply("r1", 1, 2, 2, True, False, 0, 0), 20_001)
@@ -182,7 +180,7 @@
 
     def test_candidate_waits_for_its_own_sync(self):
         """Guards against a candidate that starts a new election while its own vote is syncing."""
-        replica = follower()
+        replica = make_follower()
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 1, True, True, 0, 0), 10_001)
         mark = replica.take_output().mark
@@ -193,23 +191,23 @@
         replica.tick(70_000)
         assert replica.take_output().sends
 
-    def test_voter_refuses_trials_for_an_election_timeout_after_its_vote(self):
-        """Guards against a trial that deposes a new leader before its first message arrives."""
-        replica = follower()
+    def test_voter_refuses_pre_votes_for_an_election_timeout_after_its_vote(self):
+        """Guards against a pre-vote that deposes a new leader before its first message arrives."""
+        replica = make_follower()
         replica.receive(VoteRequest("r1", 1, 5, 0, 0, False, 0, 0), 10_000)
         replica.synced(replica.take_output().mark, 11_000)
-        trial = VoteRequest("r2", 1, 6, 0, 0, True, 0, 0)
-        replica.receive(trial, 11_000 + TIMES.election_ms / 2)
-        replica.receive(trial, 11_000 + TIMES.election_ms * 1.1)
-        early, late = [item for _, item in replica.take_output().sends]
-        assert (early.granted, early.refusal) == (False, "leader")
-        assert late.granted
+        pre_vote = VoteRequest("r2", 1, 6, 0, 0, True, 0, 0)
+        replica.receive(pre_vote, 11_000 + TIMES.election_ms / 2)
+        replica.receive(pre_vote, 11_000 + TIMES.election_ms * 1.1)
+        first_reply, second_reply = [item for _, item in replica.take_output().sends]
+        assert (first_reply.granted, first_reply.refusal) == (False, "leader")
+        assert second_reply.granted
 
 
 class TestConfirmation:
     """Confirmation of a leader by a majority before it answers a read."""
 
-    def leader_of(self, count: int) -> tuple[Replica, str, float]:
+    def make_leader(self, count: int) -> tuple[Replica, str, float]:
         """Return a leader, a follower's name, and a time after the leader's last message."""
         group = ReplicaGroup(count, 1)
         group.heal(3_000)
@@ -217,19 +215,19 @@
         return leader, next(name for name in group.names if name != leader.name), group.now + 1
 
     def test_read_forwarded_by_a_follower_confirms_a_leader_of_three(self):
-        leader, name, now = self.leader_of(3)
+        leader, name, now = self.make_leader(3)
         assert leader.is_followed_by(name, leader.term, 1)
-        assert leader.heard_since(now, name)
-        assert not leader.heard_since(now)
+        assert leader.confirmed_since(now, name)
+        assert not leader.confirmed_since(now)
 
     def test_read_forwarded_by_one_follower_does_not_confirm_a_leader_of_five(self):
         """Guards against stale reads from a leader that has lost its majority."""
-        leader, name, now = self.leader_of(5)
-        assert not leader.heard_since(now, name)
+        leader, name, now = self.make_leader(5)
+        assert not leader.confirmed_since(now, name)
 
     def test_read_forwarded_from_another_term_or_disk_confirms_nothing(self):
         """Guards against counting a follower that has elected another leader or lost its disk."""
-        leader, name, _ = self.leader_of(3)
+        leader, name, _ = self.make_leader(3)
         assert not leader.is_followed_by(name, leader.term + 1, 1)
         assert not leader.is_followed_by(name, leader.term, 77)
         assert not leader.is_followed_by("r9", leader.term, 1)
@@ -240,7 +238,7 @@
 
     def test_vote_waits_for_its_sync(self):
         """A vote lost in a crash could let two candidates lead in the same term."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(VoteRequest("r1", 1, 5, 0, 0, False, 0, 0), 10_000)
         out = replica.take_output()
         assert out.sends == []
@@ -250,7 +248,7 @@
 
     def test_request_for_votes_waits_for_its_sync(self):
         """A candidate that loses its own vote in a crash could vote again in the same term."""
-        replica = follower()
+        replica = make_follower()
         replica.tick(10_000)
         replica.receive(VoteReply("r1", 1, 2, 1, True, True, 0, 0), 10_001)
         out = replica.take_output()
@@ -259,18 +257,18 @@
 
     def test_entry_is_acknowledged_after_its_sync(self):
         """An acknowledged entry lost in a crash could revert an accepted change."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [Entry(1, 1, "noop", None)], 0, 5.0), 6.0)
         out = replica.take_output()
-        ((_, early),) = out.sends
-        assert (early.accepted, early.match, early.received) == (True, 0, 1)
+        ((_, first_reply),) = out.sends
+        assert (first_reply.accepted, first_reply.match, first_reply.received) == (True, 0, 1)
         replica.synced(out.mark, 7.0)
-        ((_, late),) = replica.take_output().sends
-        assert (late.accepted, late.match, late.sent_at) == (True, 1, 5.0)
+        ((_, second_reply),) = replica.take_output().sends
+        assert (second_reply.accepted, second_reply.match, second_reply.sent_at) == (True, 1, 5.0)
 
     def test_replaced_entry_is_not_acknowledged(self):
         """A sync that completes after a new leader replaced the entry must not acknowledge it."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [Entry(1, 1, "noop", None)], 0, 5.0), 6.0)
         out = replica.take_output()
         replica.receive(Append("r2", 2, 0, 0, [Entry(1, 2, "noop", None)], 0, 7.0), 8.0)
@@ -294,11 +292,11 @@
 
 
 class TestLease:
-    """The time in which no other replica can have been elected."""
+    """The period during which no other replica can be elected."""
 
     def test_vote_is_refused_after_leader_is_heard_again(self):
         """A vote granted here could elect a new leader while the old one holds a lease."""
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [], 0, 10_000.0), 10_000)
         request = VoteRequest("r2", 1, 2, 0, 0, False, 0, 0)
         replica.receive(request, 10_000 + TIMES.election_ms / 2)
@@ -310,14 +308,14 @@
         assert reply.granted
 
     def test_handover_vote_is_granted_while_leader_is_heard(self):
-        replica = follower()
+        replica = make_follower()
         replica.receive(Append("r1", 1, 0, 0, [], 0, 10_000.0), 10_000)
         replica.receive(VoteRequest("r2", 1, 2, 0, 0, False, 0, 0, True), 10_001)
         ((_, reply),) = replica.take_output().sends_after_sync
         assert reply.granted
 
     def test_lease_ends_before_a_successor_can_lead(self):
-        """In every schedule of faults, nobody leads while another one holds a lease."""
+        """Guards against two replicas that hold a lease at the same time."""
         for seed in range(150):
             group = ReplicaGroup(3, seed)
             group.heal(3_000)
@@ -326,6 +324,6 @@
                 holders = [
                     name
                     for name, replica in group.replicas.items()
-                    if replica is not None and replica.lease_until() > group.now
+                    if replica is not None and replica.lease_expires_at() > group.now
                 ]
                 assert len(holders) <= 1, f"seed {seed}: {holders}"
--- a/tests/coordination/test_vetting.py
+++ b/tests/coordination/test_vetting.py
@@ -1,20 +1,20 @@
-"""Tests of telling servers' announcements from what other programs write."""
+"""Tests of the validation of backend server announcements."""
 
 import pytest
 
 from siskinspoke.bench.slopes import announcement
-from siskinspoke.coordination.vetting import AnnouncementFault, fault_of
+from siskinspoke.coordination.vetting import AnnouncementFault, announcement_fault
 
-WELL = announcement(1, 5, "sala-a")._replace(host="10.0.0.9", port=80)
-SERVICES = {WELL.service}
+VALID = announcement(1, 5, "sala-a")._replace(host="10.0.0.9", port=80)
+SERVICES = {VALID.service}
 
 
 class TestFaults:
-    """An announcement that names no server is refused for a reason."""
+    """Each invalid announcement is rejected with the matching reason."""
 
-    def test_well_formed(self):
-        assert fault_of(WELL, None, SERVICES) is None
-        assert fault_of(WELL, None, None) is None
+    def test_valid(self):
+        assert announcement_fault(VALID, None, SERVICES) is None
+        assert announcement_fault(VALID, None, None) is None
 
     @pytest.mark.parametrize(
         ("changes", "fault"),
@@ -32,29 +32,32 @@
         ],
     )
     def test_fault(self, changes, fault):
-        assert fault_of(WELL._replace(**changes), None, SERVICES) is fault
+        assert announcement_fault(VALID._replace(**changes), None, SERVICES) is fault
 
 
 class TestKnownServers:
-    """What is known of a server is not replaced by a stranger's word on it."""
+    """A foreign announcement does not replace that of a known server."""
 
-    def test_other_address_under_the_same_start(self):
-        """Another program announces the name of a server that is well, at its own address.
+    def test_address_change_within_an_incarnation_is_rejected(self):
+        """Guards against requests that go to a foreign program.
 
-        Believed, each request for the server would go to the other program.
+        The program announces the name of a healthy server with its own address.
         """
-        stranger = WELL._replace(host="10.0.0.66", seq=99)
-        assert fault_of(stranger, WELL, SERVICES) is AnnouncementFault.MOVED
+        foreign = VALID._replace(host="10.0.0.66", seq=99)
+        assert announcement_fault(foreign, VALID, SERVICES) is AnnouncementFault.MOVED
 
-    def test_later_start_may_have_another_address(self):
-        moved = WELL._replace(host="10.0.0.66", incarnation=WELL.incarnation + 1)
-        assert fault_of(moved, WELL, SERVICES) is None
+    def test_address_may_change_with_a_new_incarnation(self):
+        moved = VALID._replace(host="10.0.0.66", incarnation=VALID.incarnation + 1)
+        assert announcement_fault(moved, VALID, SERVICES) is None
 
-    def test_the_server_itself_after_a_stranger(self):
-        """Before the first configuration nobody could tell that the stranger's service is none."""
-        stranger = WELL._replace(service="unknown", host="10.0.0.66")
-        assert fault_of(WELL, stranger, SERVICES) is None
+    def test_server_replaces_a_foreign_announcement(self):
+        """Guards against a server locked out by a foreign announcement under its name.
 
-    def test_word_of_a_server_whose_service_is_gone(self):
-        """A configuration drops a service; its servers still say that they leave."""
-        assert fault_of(WELL._replace(leaving=True, seq=6), WELL, {"other"}) is None
+        The announcement was accepted before the first configuration, when services were unknown.
+        """
+        foreign = VALID._replace(service="unknown", host="10.0.0.66")
+        assert announcement_fault(VALID, foreign, SERVICES) is None
+
+    def test_server_of_a_removed_service_can_leave(self):
+        """Guards against ignoring a leaving server whose service was removed."""
+        assert announcement_fault(VALID._replace(leaving=True, seq=6), VALID, {"other"}) is None
--- a/tests/state/test_replica_store.py
+++ b/tests/state/test_replica_store.py
@@ -1,4 +1,4 @@
-"""Tests of what a control replica finds in its data folder."""
+"""Tests of the data folder of a control replica."""
 
 import contextlib
 import os
@@ -6,7 +6,7 @@
 
 import pytest
 
-from siskinspoke.coordination.replica_types import Restored
+from siskinspoke.coordination.replica_types import RestoredState
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.protocol import encode_message
 from siskinspoke.protocol.replication import Admitted, Entry, HardState, Identity, Snapshot
@@ -15,9 +15,9 @@
 
 
 class TestOpenStore:
-    """Restarts of a replica."""
+    """Restart of a replica."""
 
-    def test_everything_comes_back(self, tmp_path):
+    def test_state_is_restored(self, tmp_path):
         store, empty = open_store(str(tmp_path), "control-a").ok
         assert empty.identity is None
         store.save_identity(Identity("control-a", 1))
@@ -34,15 +34,15 @@
         assert [entry.index for entry in restored.entries] == [2]
         assert restored.admitted == (Admitted("control-c", 9, 2),)
 
-    def test_folder_of_another_vm_is_refused(self, tmp_path):
-        """An operator mounts the wrong disk; two replicas would vote with one memory."""
+    def test_folder_of_another_vm_is_rejected(self, tmp_path):
+        """Guards against a wrongly mounted disk, with which two replicas would share one state."""
         store, _ = open_store(str(tmp_path), "control-a").ok
         store.save_identity(Identity("control-a", 1))
         store.close()
         assert open_store(str(tmp_path), "control-b").error.code is ResultCode.FOREIGN_FOLDER
 
-    def test_log_without_identity_is_refused(self, tmp_path):
-        """Half a folder was restored: votes may be missing, so the replica must not vote."""
+    def test_log_without_identity_is_rejected(self, tmp_path):
+        """Guards against votes by a replica whose votes were lost in a partial restore."""
         store, _ = open_store(str(tmp_path), "control-a").ok
         store.append([Entry(1, 1, "noop", None)])
         store.close()
@@ -99,7 +99,7 @@
         _, restored = open_store(str(tmp_path / "crashed"), "control-a").ok
         assert restored in (old, new)
 
-    def _write(self, folder: Path, snapshot: bool) -> Restored:
+    def _write(self, folder: Path, snapshot: bool) -> RestoredState:
         store, _ = open_store(str(folder), "control-a").ok
         store.save_identity(Identity("control-a", 1))
         store.append(list(self.OLD_RECORDS))
