--- a/siskinspoke/coordination/books.py
+++ b/siskinspoke/coordination/books.py
@@ -1,7 +1,7 @@
-"""The work of the whole fleet of engines, as one entry VM has heard of it.
+"""Track the in-flight work of all engines, as known to one entry VM.
 
-Every entry VM tells the others what it begins and ends, so each book holds all work, late by one
-datagram.
+Every entry VM tells the others which requests it starts and ends, so each VM's table holds all
+in-flight work, delayed by one datagram.
 """
 
 from collections import Counter
@@ -10,23 +10,24 @@
 from enum import Enum
 from typing import NamedTuple
 
-# Work lost when a stream pauses too long or a first token is late, in units of a short prompt.
-TOKENS_PER_UNIT = 8_000
-# A prompt of this many tokens or fewer is short: it is read in about one pass.
-SHORT_TOKENS = 24_000
-# Work that nobody has told the end of is forgotten after this time.
-FORGET_MS = 20_000.0
+# The weight of a request is the work lost when its stream pauses too long or its first token is
+# late, relative to a short prompt.
+TOKENS_PER_WEIGHT_UNIT = 8_000
+# An engine prefills a prompt of at most this many tokens in about one pass.
+MAX_SHORT_PROMPT_TOKENS = 24_000
+# Work is dropped after this time if no end has been received for it.
+WORK_EXPIRY_MS = 20_000.0
 
 
 class Stage(Enum):
-    """How far a piece of work has come."""
+    """The stage of a request at its engines."""
 
-    READING = "reading"
-    WRITING = "writing"
+    PREFILL = "reading"
+    DECODE = "writing"
 
 
 class Job(NamedTuple):
-    """What placement needs to know of a request; times in milliseconds."""
+    """The properties of a request that placement uses; times in milliseconds."""
 
     tokens: int
     max_tokens: int
@@ -35,37 +36,38 @@
 
     @property
     def units(self) -> float:
-        """Return what is lost if the job's answer is late."""
-        return 1.0 + self.tokens / TOKENS_PER_UNIT
+        """Return the work lost if the answer is late, relative to a short prompt."""
+        return 1.0 + self.tokens / TOKENS_PER_WEIGHT_UNIT
 
     @property
     def short(self) -> bool:
-        """Tell whether the prompt is read in about one pass."""
-        return self.tokens <= SHORT_TOKENS
+        """Return whether the prompt is prefilled in about one pass."""
+        return self.tokens <= MAX_SHORT_PROMPT_TOKENS
 
 
 @dataclass(slots=True)
 class Work:
-    """One request in the books; the first server writes, the others read a part.
+    """One in-flight request; the first server decodes, the others only prefill a part.
 
-    ``held`` are the tokens of the prompt that each other server keeps until the end.  The first
-    one keeps the rest, and the answer.  Nobody else should join work that is ``alone``.
+    ``held`` is the number of prompt tokens whose KV cache each server after the first keeps until
+    the end of the request.  The first server keeps the rest, and the answer.  No other request
+    should be placed on the servers of work that is ``alone``.
     """
 
     job: Job
     servers: tuple[str, ...]
     began_at: float
     held: tuple[int, ...] = ()
-    stage: Stage = Stage.READING
+    stage: Stage = Stage.PREFILL
     alone: bool = False
 
     @property
-    def parts(self) -> int:
-        """Return how many engines read the prompt."""
+    def engine_count(self) -> int:
+        """Return the number of engines that prefill the prompt."""
         return len(self.servers)
 
     def tokens_at(self, server: str) -> int:
-        """Return the tokens of memory that the request takes at one server."""
+        """Return the KV memory, in tokens, that the request takes at one server."""
         if server == self.servers[0]:
             return self.job.tokens + self.job.max_tokens - sum(self.held)
         if not self.held:
@@ -74,81 +76,84 @@
 
 
 @dataclass(slots=True)
-class Engine:
-    """The work at one engine, and how much slower it is than its costs say."""
+class EngineWork:
+    """The work at one engine, and the factor by which it is slower than its configured costs."""
 
     works: dict[str, Work] = field(default_factory=dict)
     pace: float = 1.0
 
 
 class Books:
-    """All work of the fleet that this VM has heard of."""
+    """All in-flight work of the fleet that is known to this VM."""
 
     def __init__(self) -> None:
         self._works: dict[str, Work] = {}
-        self._engines: dict[str, Engine] = {}
-        self._alone: Counter[str] = Counter()
+        self._engines: dict[str, EngineWork] = {}
+        self._exclusive: Counter[str] = Counter()
 
-    def engine(self, server: str) -> Engine:
-        """Return the book of one engine."""
+    def engine(self, server: str) -> EngineWork:
+        """Return the work of one engine, creating an empty entry if needed."""
         found = self._engines.get(server)
         if found is None:
-            found = self._engines[server] = Engine()
+            found = self._engines[server] = EngineWork()
         return found
 
     def begin(self, name: str, work: Work) -> None:
-        """Enter a request; one of the same name is replaced."""
+        """Add a request, replacing any of the same name."""
         self.end(name)
         self._works[name] = work
         for server in work.servers:
             self.engine(server).works[name] = work
         if work.alone:
-            self._alone.update(work.servers)
+            self._exclusive.update(work.servers)
 
     def wrote(self, name: str) -> None:
-        """Note that a request has its first token, so nothing of its prompt is left to read."""
+        """Record the first token of a request: its prefill is complete.
+
+        Servers that keep none of the prompt are done with the request.
+        """
         work = self._works.get(name)
         if work is None:
             return
-        work.stage = Stage.WRITING
+        work.stage = Stage.DECODE
         for server in work.servers[1:]:
             if not work.tokens_at(server):
                 self.engine(server).works.pop(name, None)
 
     def end(self, name: str) -> None:
-        """Strike a request from the books."""
+        """Remove a request."""
         work = self._works.pop(name, None)
         if work is None:
             return
         for server in work.servers:
             self.engine(server).works.pop(name, None)
         if work.alone:
-            self._alone -= Counter(work.servers)
+            self._exclusive -= Counter(work.servers)
 
     def is_alone(self, server: str) -> bool:
-        """Tell whether an engine holds work that nobody should join."""
-        return server in self._alone
+        """Return whether an engine holds work that no other request should join."""
+        return server in self._exclusive
 
     def is_idle(self, server: str) -> bool:
-        """Tell whether an engine holds no work."""
+        """Return whether an engine holds no work."""
         known = self._engines.get(server)
         return known is None or not known.works
 
     def started(self, server: str) -> None:
-        """Empty the book of an engine that has started anew: it holds nothing of before."""
-        self._engines[server] = Engine()
+        """Clear the work of an engine that has restarted, which lost all of it."""
+        self._engines[server] = EngineWork()
 
     def end_all(self, prefix: str) -> int:
-        """Strike all requests whose names begin so; return how many there were."""
+        """Remove all requests whose names start with ``prefix``; return their number."""
         names = [name for name in self._works if name.startswith(prefix)]
         for name in names:
             self.end(name)
         return len(names)
 
     def forget(self, now: float, servers: Iterable[str]) -> None:
-        """Drop work that is too old to be still there, and the books of engines that are gone."""
+        """Remove expired work, and the entries of idle engines not among ``servers``."""
         for name, work in list(self._works.items()):
-            if now - work.began_at > FORGET_MS:
+            if now - work.began_at > WORK_EXPIRY_MS:
                 self.end(name)
         known = set(servers)
         for server in list(self._engines):
@@ -157,5 +162,5 @@
 
     @property
     def open_works(self) -> int:
-        """Return how many requests the books hold."""
+        """Return the number of in-flight requests."""
         return len(self._works)
--- a/siskinspoke/coordination/passes.py
+++ b/siskinspoke/coordination/passes.py
@@ -1,4 +1,4 @@
-"""What work costs on a model engine that computes in passes.  Pure arithmetic, no state."""
+"""Cost model of a model engine that computes in passes.  Pure functions, without state."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,22 +9,22 @@
 
 
 class Writer(NamedTuple):
-    """A stream that is being written, by the tokens that each of its steps looks back on."""
+    """A decoding stream, with the context length that each of its steps attends to."""
 
     context_tokens: int
 
 
 def read_ms(costs: EngineCosts, tokens: int, parts: int = 1) -> float:
-    """Return the time that one engine needs for its part of a prompt.
+    """Return the time in which one engine prefills its part of a prompt.
 
-    Each part has its share both of the tokens and of the pairs of a token with an earlier one.
+    Tokens and attention pairs (a token with an earlier one) are divided evenly among the parts.
     """
     pairs = tokens * tokens / 2 / PAIRS_PER_MILLION
     return (tokens / costs.read_tokens_per_ms + pairs * costs.pair_ms_per_million) / parts
 
 
 def pass_ms(costs: EngineCosts, writers: Iterable[Writer]) -> float:
-    """Return the time of a pass in which these streams are written and nothing is read."""
+    """Return the time of a pass that decodes these streams and does no prefill."""
     streams, context = 0, 0
     for writer in writers:
         streams += 1
--- a/siskinspoke/coordination/placement.py
+++ b/siskinspoke/coordination/placement.py
@@ -1,9 +1,9 @@
-"""Choose the engines that read and write a prompt, from books that all entry VMs share.
+"""Choose the engines that prefill and decode a request, from a work table that all entry VMs share.
 
-An engine computes in passes: whatever it reads makes the pass
-longer for every stream that it writes.  So a long prompt is read in thin parts by several
-engines, preferably by those that write nothing that would suffer, and short prompts gather on
-engines that write short streams already, which leaves others free for long ones.
+An engine computes in passes, and any prefill lengthens the pass for every stream that the engine
+decodes.  So a long prompt is split into small parts that several engines prefill, preferably
+engines without streams that would pause too long.  Short prompts are packed onto engines that
+already decode short streams, which leaves the others free for long prompts.
 """
 
 import random
@@ -14,63 +14,70 @@
 from siskinspoke.coordination.passes import Writer, pass_ms, read_ms
 from siskinspoke.coordination.routes import EngineCosts
 
-# Most other engines that may read parts of one prompt.
+# Maximum number of engines, besides the decoding one, that prefill parts of one prompt.
 MAX_HELPERS = 16
 GROUP_SIZES = (1, 2, 3, 4, 6, 8, 12, 17)
-# A stream's pauses should stay within this share of what they may last: passes are estimated.
-PAUSE_SHARE = 0.8
-# Milliseconds by which a short prompt's first token may be later for joining an engine that
-# writes short streams, rather than opening one that writes none.
-GATHER_MS = 45.0
-# A short prompt that waits less than this for its pass is soon enough: among such engines the one
-# with the most streams is taken, each being worth PACK_MS, unless fewer than so many of its slots
-# are free.  What stays free reads long prompts without stopping anybody's stream.
-SOON_ENOUGH_MS = 160.0
-PACK_MS = 8.0
-SLOTS_LEFT = 2
-# In a large fleet each short prompt looks at so many engines, drawn by lot: VMs that know the same
-# would all choose the one engine that is best in the whole fleet.
+# Passes should stay within this share of the longest pause that a stream allows, since their
+# length is only an estimate.
+PAUSE_BUDGET_SHARE = 0.8
+# Cost of placing a short prompt on an engine without short streams: its first token may be this
+# much later on an engine that already decodes some.
+NO_SHORT_STREAM_PENALTY_MS = 45.0
+# Waits below ACCEPTABLE_WAIT_MS count as equal for a short prompt.  Among such engines the one with
+# the most streams is chosen, each stream being worth PACKING_BONUS_MS, unless fewer than
+# MIN_FREE_SLOTS of its slots are free.  Engines left idle can prefill long prompts without pausing
+# any stream.
+ACCEPTABLE_WAIT_MS = 160.0
+PACKING_BONUS_MS = 8.0
+MIN_FREE_SLOTS = 2
+# In a large fleet each short prompt considers a random sample of this many engines: VMs with the
+# same information would otherwise all choose the engine that is best in the whole fleet.
 DRAWN_ENGINES = 12
-# Milliseconds by which an engine looks worse when its last slot is taken, rising from this share
-# of its slots on, and a random part of every choice: VMs that learn of each other's work some
-# milliseconds late would otherwise fill the same engine at once.
-CROWD_MS = 80.0
-CROWDED_FROM = 0.8
-JITTER_MS = 10.0
-# Prompts that an engine has still to read, beyond so many, make it look worse by this for each:
-# whoever is behind a pile of them is late.
-UNREAD_FREE = 2
-UNREAD_MS = 30.0
-# The herd grows with the fleet, whose VMs all choose within the delay of one datagram.  With few
-# engines that care is worth less than keeping some free for long prompts, so it is left out up to
-# the first number of engines and counts in full from the second.
-NO_HERD_ENGINES = 24
-FULL_HERD_ENGINES = 64
-# Cost of each further engine in a group, in the same units: any of them may fail.
+# Cost of taking the last slot of an engine, rising linearly from CROWDING_THRESHOLD of its slots
+# on, and the range of a random cost added to every engine.  VMs learn of each other's work some
+# milliseconds late and would otherwise fill the same engine at the same time.
+LAST_SLOT_PENALTY_MS = 80.0
+CROWDING_THRESHOLD = 0.8
+MAX_JITTER_MS = 10.0
+# Cost of each pending prefill at an engine beyond the first FREE_PENDING_PREFILLS: a prompt queued
+# behind many prefills is late.
+FREE_PENDING_PREFILLS = 2
+PENDING_PREFILL_PENALTY_MS = 30.0
+# The thundering herd grows with the fleet, since all its VMs choose within the delay of one
+# datagram.  With few engines, avoiding it matters less than keeping some engines free for long
+# prompts: avoidance is off up to HERD_AVOIDANCE_MIN_ENGINES and at full strength from
+# HERD_AVOIDANCE_FULL_ENGINES.
+HERD_AVOIDANCE_MIN_ENGINES = 24
+HERD_AVOIDANCE_FULL_ENGINES = 64
+# Cost of each engine in a group after the first, relative to the weight of the request: any of them
+# may fail.
 HELPER_COST = 0.004
-# Share of the memory believed to be free that a part of a prompt may take: the books lag, and
-# streams grow as they are written.
-HOLD_SHARE = 0.8
-# Part of its target at which a first token begins to count as late, and what is lost at it.
-LATE_FROM = 0.35
-LATE_AT_TARGET = 0.75
-# An engine with all its slots taken ends a stream every fifth of a second; some may wait there
-# rather than beside a prompt that is read for seconds.  In units of its slots.
-QUEUE_SHARE = 1.5
+# Share of an engine's free memory that a part of a prompt may take: the work table lags behind, and
+# streams grow while they are decoded.
+USABLE_FREE_MEMORY_SHARE = 0.8
+# Share of the target from which a first token counts as partly late, and the share of the request's
+# weight that is lost at the target itself.
+LATENESS_THRESHOLD = 0.35
+LOSS_AT_TARGET = 0.75
+# Maximum number of streams at an engine, including queued ones, per slot.  A full engine ends a
+# stream about every 0.2 s, so queueing there can be faster than sharing an engine with a prompt
+# whose prefill takes seconds.
+MAX_STREAMS_PER_SLOT = 1.5
 
 
 class Candidate(NamedTuple):
-    """An engine that may take work; ``penalty`` is in milliseconds."""
+    """An engine that may take work; ``penalty`` is added to its first-token time, in ms."""
 
     server: str
     penalty: float = 0.0
 
 
 class Place(NamedTuple):
-    """The engines chosen, the writing one first, and the first token expected.
+    """The chosen engines, the decoding one first, and the expected time to first token.
 
-    ``held`` are the tokens that each engine after the first must keep; empty where the first
-    keeps all.  ``considered`` engines could have taken work, ``idle`` of them wrote nothing.
+    ``held`` is the number of tokens whose KV cache each engine after the first must keep; empty
+    if the first keeps all.  ``considered`` counts the engines that could have taken the request,
+    ``idle`` those among them without streams.
     """
 
     servers: tuple[str, ...]
@@ -80,90 +87,94 @@
     idle: int = 0
 
 
-class _View(NamedTuple):
-    """One engine as a new job would find it; times in milliseconds."""
+class _EngineState(NamedTuple):
+    """The state of one engine as seen by a new job; times in milliseconds."""
 
     server: str
     pass_ms: float
-    waiting_ms: float
-    tightest_ms: float
-    units: float
+    pending_prefill_ms: float
+    min_pause_ms: float
+    weight: float
     streams: int
     short_streams: int
-    unread: int
+    pending_prefills: int
     free_tokens: int
     penalty: float
-    pace: float
+    slowdown: float
 
 
 class Placement:
-    """Choose engines for jobs; ``books`` are what it goes by."""
+    """Choose engines for jobs, based on the in-flight work in ``books``."""
 
     def __init__(self, books: Books):
         self.books = books
 
-    def _view(self, costs: EngineCosts, candidate: Candidate, now: float) -> _View:
+    def _state(self, costs: EngineCosts, candidate: Candidate, now: float) -> _EngineState:
         engine = self.books.engine(candidate.server)
-        writers, waiting, tightest, units, used, shorts, streams = [], 0.0, 1e9, 0.0, 0, 0, 0
-        tokens_left = unread = 0
+        decoding, pending, min_pause, weight, used, shorts, streams = [], 0.0, 1e9, 0.0, 0, 0, 0
+        tokens_left = pending_prefills = 0
         for work in engine.works.values():
-            writes = work.servers[0] == candidate.server
+            decodes = work.servers[0] == candidate.server
             used += work.tokens_at(candidate.server)
-            if writes:
+            if decodes:
                 streams += 1
                 shorts += work.job.short
-                # Also one that is still read will write in the passes to come.
-                tightest = min(tightest, work.job.pause_ms)
-                units += work.job.units
+                # A stream whose prefill is pending will decode in later passes, so it counts too.
+                min_pause = min(min_pause, work.job.pause_ms)
+                weight += work.job.units
                 tokens_left += work.job.max_tokens
-                unread += work.stage is Stage.READING
-            if work.stage is Stage.WRITING:
-                writers.append(Writer(work.tokens_at(candidate.server)))
+                pending_prefills += work.stage is Stage.PREFILL
+            if work.stage is Stage.DECODE:
+                decoding.append(Writer(work.tokens_at(candidate.server)))
             else:
-                part = read_ms(costs, work.job.tokens, work.parts)
-                waiting += max(part - max(0.0, now - work.began_at - part), part * 0.2)
-        one_pass = pass_ms(costs, writers) * engine.pace
+                part = read_ms(costs, work.job.tokens, work.engine_count)
+                pending += max(part - max(0.0, now - work.began_at - part), part * 0.2)
+        decode_pass_ms = pass_ms(costs, decoding) * engine.pace
         queue_ms = 0.0
         if streams >= costs.slots:
             passes = tokens_left / streams / costs.pass_steps
-            # Also where all of them are still read: they will write before a slot is free.
-            writing = max(one_pass, costs.pass_steps * costs.step_ms * engine.pace)
-            queue_ms = (streams - costs.slots + 1) * passes * writing / costs.slots
-        return _View(
+            # At least one step per pass: streams still in prefill decode before a slot is free.
+            decode_pass = max(decode_pass_ms, costs.pass_steps * costs.step_ms * engine.pace)
+            queue_ms = (streams - costs.slots + 1) * passes * decode_pass / costs.slots
+        return _EngineState(
             candidate.server,
-            one_pass,
-            waiting * engine.pace,
-            tightest,
-            units,
+            decode_pass_ms,
+            pending * engine.pace,
+            min_pause,
+            weight,
             streams,
             shorts,
-            unread,
+            pending_prefills,
             costs.memory_tokens - used,
             candidate.penalty + queue_ms,
             engine.pace,
         )
 
-    def _views(
+    def _available_states(
         self, costs: EngineCosts, candidates: Sequence[Candidate], now: float
-    ) -> list[_View]:
-        """Return the engines that may take more work at all."""
-        views = [self._view(costs, item, now) for item in candidates]
-        return [view for view in views if view.streams < costs.slots * QUEUE_SHARE]
+    ) -> list[_EngineState]:
+        """Return the states of the engines that are not full, queued streams included."""
+        states = [self._state(costs, item, now) for item in candidates]
+        return [state for state in states if state.streams < costs.slots * MAX_STREAMS_PER_SLOT]
 
     def pass_ms(self, costs: EngineCosts, server: str) -> float:
-        """Return how long a pass of an engine takes that reads nothing."""
+        """Return the time of an engine's next pass if it does no prefill."""
         works = self.books.engine(server).works.values()
-        writers = [Writer(work.tokens_at(server)) for work in works]
+        decoding = [Writer(work.tokens_at(server)) for work in works]
         least = costs.pass_steps * costs.step_ms
-        return max(least, pass_ms(costs, writers)) * self.books.engine(server).pace
+        return max(least, pass_ms(costs, decoding)) * self.books.engine(server).pace
 
     def reading_ms(self, costs: EngineCosts, server: str, now: float) -> float:
-        """Return how long an engine still reads the prompts that it has, as the books stand."""
+        """Return the prefill time that remains for the prompts known to be at an engine."""
         engine = self.books.engine(server)
-        reading = [work for work in engine.works.values() if work.stage is Stage.READING]
-        parts = [read_ms(costs, work.job.tokens, work.parts) * engine.pace for work in reading]
-        begun = [now - work.began_at for work in reading]
-        return sum(max(0.0, part - had) for part, had in zip(parts, begun, strict=True))
+        in_prefill = [work for work in engine.works.values() if work.stage is Stage.PREFILL]
+        parts = [
+            read_ms(costs, work.job.tokens, work.engine_count) * engine.pace for work in in_prefill
+        ]
+        elapsed_ms = [now - work.began_at for work in in_prefill]
+        return sum(
+            max(0.0, part - elapsed) for part, elapsed in zip(parts, elapsed_ms, strict=True)
+        )
 
     def choose(
         self,
@@ -173,190 +184,243 @@
         now: float,
         rng: random.Random,
     ) -> Place | None:
-        """Return where a job goes, or None where no engine can take it."""
-        place, views = self._choose(costs, job, candidates, now, rng)
+        """Return the engines for a job, or None if no engine can take it."""
+        place, states = self._find_place(costs, job, candidates, now, rng)
         if place is None:
             return None
-        idle = sum(not view.streams for view in views)
-        return place._replace(considered=len(views), idle=idle)
+        idle = sum(not state.streams for state in states)
+        return place._replace(considered=len(states), idle=idle)
 
-    def _choose(
+    def _find_place(
         self,
         costs: EngineCosts,
         job: Job,
         candidates: Sequence[Candidate],
         now: float,
         rng: random.Random,
-    ) -> tuple[Place | None, list[_View]]:
-        """Return the place and the engines that were looked at."""
+    ) -> tuple[Place | None, list[_EngineState]]:
+        """Return the place, and the states of the engines that were considered."""
         need = job.tokens + job.max_tokens
         shuffled = rng.sample(candidates, len(candidates))
-        herd = _herd_share(len(candidates))
+        herd_avoidance = _herd_avoidance(len(candidates))
         if job.short:
-            drawn = self._views(costs, shuffled[: _drawn_engines(len(shuffled))], now)
-            roomy = [view for view in drawn if view.free_tokens >= need]
-            if any(view.streams < costs.slots for view in roomy):
-                place = self._choose_one(costs, job, roomy, herd, rng)
-                # Where all that were drawn would be late, the rest of the fleet is worth a look.
+            sampled = self._available_states(costs, shuffled[: _sample_size(len(shuffled))], now)
+            with_memory = [state for state in sampled if state.free_tokens >= need]
+            if any(state.streams < costs.slots for state in with_memory):
+                place = self._choose_engine(costs, job, with_memory, herd_avoidance, rng)
+                # If even the best engine of the sample would be late, consider the whole fleet.
                 if place.first_token_ms <= job.target_ms:
-                    return place, drawn
-        views = self._views(costs, shuffled, now)
-        roomy = [view for view in views if view.free_tokens >= need]
-        if not roomy:
-            return self._choose_holders(costs, job, views), views
+                    return place, sampled
+        states = self._available_states(costs, shuffled, now)
+        with_memory = [state for state in states if state.free_tokens >= need]
+        if not with_memory:
+            return self._choose_memory_group(costs, job, states), states
         if job.short:
-            return self._choose_one(costs, job, roomy, herd, rng), views
-        return self._choose_group(costs, job, views, roomy), views
+            return self._choose_engine(costs, job, with_memory, herd_avoidance, rng), states
+        return self._choose_group(costs, job, states, with_memory), states
 
-    def _choose_holders(self, costs: EngineCosts, job: Job, views: list[_View]) -> Place | None:
-        """Return a group that keeps the prompt together, of the size that loses least."""
+    def _choose_memory_group(
+        self, costs: EngineCosts, job: Job, states: list[_EngineState]
+    ) -> Place | None:
+        """Return the lowest-cost group whose engines together have memory for the prompt."""
         found = [
             place
             for size in GROUP_SIZES
-            if 1 < size <= len(views)
-            and (place := self._holders_of(costs, job, views, size)) is not None
+            if 1 < size <= len(states)
+            and (place := self._memory_group_of_size(costs, job, states, size)) is not None
         ]
         return min(found, key=lambda item: item[0])[1] if found else None
 
-    def _holders_of(
-        self, costs: EngineCosts, job: Job, views: list[_View], size: int
+    def _memory_group_of_size(
+        self, costs: EngineCosts, job: Job, states: list[_EngineState], size: int
     ) -> tuple[float, Place] | None:
-        """Return the cost and the place of a group of one size, with as few keepers as possible.
+        """Return the cost and the place of a group of one size, or None if none has the memory.
 
-        A step costs the largest part kept, so keepers share evenly; the others only read.
+        As few engines as possible keep parts of the KV cache.  The largest part kept determines the
+        time of a decoding step, so these engines keep equal parts.  The others only prefill.
         """
         part = read_ms(costs, job.tokens, size)
-        ranked = sorted(views, key=lambda view: self._group_cost(costs, view, part))
+        ranked = sorted(states, key=lambda state: self._engine_cost(costs, state, part))
         for count in range(2, size + 1):
             share = -(-job.tokens // count)
-            room = [view for view in ranked if view.free_tokens * HOLD_SHARE >= share]
+            eligible = [
+                state for state in ranked if state.free_tokens * USABLE_FREE_MEMORY_SHARE >= share
+            ]
             head_share = job.tokens + job.max_tokens - share * (count - 1)
-            heads = [view for view in room if view.free_tokens * HOLD_SHARE >= head_share]
-            if heads and len(room) >= count:
+            head_candidates = [
+                state
+                for state in eligible
+                if state.free_tokens * USABLE_FREE_MEMORY_SHARE >= head_share
+            ]
+            if head_candidates and len(eligible) >= count:
                 break
         else:
             return None
-        head = heads[0]
-        keepers = [view for view in room if view is not head][: count - 1]
+        head = head_candidates[0]
+        keepers = [state for state in eligible if state is not head][: count - 1]
         chosen = [head, *keepers]
-        others = [view for view in ranked if view not in chosen][: size - count]
+        others = [state for state in ranked if state not in chosen][: size - count]
         held = (share,) * (count - 1) + (0,) * len(others)
-        return self._weighed(costs, job, [*chosen, *others], held)
+        return self._scored_place(costs, job, [*chosen, *others], held)
 
-    def _first_token_ms(self, costs: EngineCosts, view: _View, part_ms: float) -> float:
-        """Return the expected time to the first token at one engine.
+    def _first_token_ms(self, costs: EngineCosts, state: _EngineState, part_ms: float) -> float:
+        """Return the expected time to first token at one engine.
 
-        The pass under way must end first, half of it on average; the next one reads, together
-        with all that waits, and writes the first event.
+        The current pass must end first, which takes half of it on average.  The next pass does the
+        prefill, together with all pending prefills, and emits the first event.
         """
-        own = costs.pass_steps * costs.step_ms * view.pace
-        under_way = (view.pass_ms + view.waiting_ms) / 2 if view.pass_ms else view.waiting_ms
-        return under_way + max(view.pass_ms, own) + view.waiting_ms / 2 + part_ms * view.pace
-
-    def _harm(self, view: _View, part_ms: float) -> float:
-        """Return the work that would be late at an engine for reading a part there."""
-        longest = view.pass_ms + view.waiting_ms + part_ms * view.pace
-        allowed = view.tightest_ms * PAUSE_SHARE
+        own = costs.pass_steps * costs.step_ms * state.slowdown
+        under_way = (
+            (state.pass_ms + state.pending_prefill_ms) / 2
+            if state.pass_ms
+            else state.pending_prefill_ms
+        )
+        return (
+            under_way
+            + max(state.pass_ms, own)
+            + state.pending_prefill_ms / 2
+            + part_ms * state.slowdown
+        )
+
+    def _disruption_cost(self, state: _EngineState, part_ms: float) -> float:
+        """Return the weight of the streams that a prefill at this engine would pause too long."""
+        longest = state.pass_ms + state.pending_prefill_ms + part_ms * state.slowdown
+        allowed = state.min_pause_ms * PAUSE_BUDGET_SHARE
         if longest <= allowed:
             return 0.0
-        return view.units * min(1.0, longest / allowed - 0.9)
+        return state.weight * min(1.0, longest / allowed - 0.9)
 
-    def _choose_one(
-        self, costs: EngineCosts, job: Job, views: list[_View], herd: float, rng: random.Random
+    def _choose_engine(
+        self,
+        costs: EngineCosts,
+        job: Job,
+        states: list[_EngineState],
+        herd_avoidance: float,
+        rng: random.Random,
     ) -> Place:
         part = read_ms(costs, job.tokens)
 
-        def cost(view: _View) -> float:
-            first = self._first_token_ms(costs, view, part) + view.penalty
-            late = max(0.0, first - job.target_ms * PAUSE_SHARE)
-            gathered = 0.0 if view.short_streams else GATHER_MS
-            taken = (view.streams + 1) / costs.slots
-            crowd = herd * CROWD_MS * max(0.0, taken - CROWDED_FROM) / (1 - CROWDED_FROM)
-            harm = self._harm(view, part)
-            own = self._harm_to_self(costs, job, view)
-            jitter = herd * rng.uniform(0, JITTER_MS)
-            crowd += UNREAD_MS * max(0, view.unread - UNREAD_FREE)
-            packed = PACK_MS * view.streams if view.streams <= costs.slots - SLOTS_LEFT else 0.0
-            wait = max(first - part, SOON_ENOUGH_MS)
-            return wait + gathered + crowd + jitter - packed + 3 * late + 300 * (harm + own)
-
-        best = min(views, key=cost)
+        def cost(state: _EngineState) -> float:
+            first = self._first_token_ms(costs, state, part) + state.penalty
+            late = max(0.0, first - job.target_ms * PAUSE_BUDGET_SHARE)
+            no_short_stream = 0.0 if state.short_streams else NO_SHORT_STREAM_PENALTY_MS
+            taken = (state.streams + 1) / costs.slots
+            crowding = (
+                herd_avoidance
+                * LAST_SLOT_PENALTY_MS
+                * max(0.0, taken - CROWDING_THRESHOLD)
+                / (1 - CROWDING_THRESHOLD)
+            )
+            disruption = self._disruption_cost(state, part)
+            own_pause = self._own_pause_cost(costs, job, state)
+            jitter = herd_avoidance * rng.uniform(0, MAX_JITTER_MS)
+            crowding += PENDING_PREFILL_PENALTY_MS * max(
+                0, state.pending_prefills - FREE_PENDING_PREFILLS
+            )
+            packing_bonus = (
+                PACKING_BONUS_MS * state.streams
+                if state.streams <= costs.slots - MIN_FREE_SLOTS
+                else 0.0
+            )
+            wait = max(first - part, ACCEPTABLE_WAIT_MS)
+            return (
+                wait
+                + no_short_stream
+                + crowding
+                + jitter
+                - packing_bonus
+                + 3 * late
+                + 300 * (disruption + own_pause)
+            )
+
+        best = min(states, key=cost)
         first_ms = self._first_token_ms(costs, best, part) + best.penalty
         return Place((best.server,), first_ms)
 
-    def _harm_to_self(self, costs: EngineCosts, job: Job, view: _View) -> float:
-        """Return what the job itself loses if the engine's passes are too long for its pauses."""
-        longest = view.pass_ms + costs.pass_steps * costs.stream_step_ms
-        return job.units * (longest > job.pause_ms * PAUSE_SHARE)
+    def _own_pause_cost(self, costs: EngineCosts, job: Job, state: _EngineState) -> float:
+        """Return the weight lost if the engine's passes exceed the pauses that the job allows."""
+        longest = state.pass_ms + costs.pass_steps * costs.stream_step_ms
+        return job.units * (longest > job.pause_ms * PAUSE_BUDGET_SHARE)
 
     def _choose_group(
-        self, costs: EngineCosts, job: Job, views: list[_View], roomy: list[_View]
+        self,
+        costs: EngineCosts,
+        job: Job,
+        states: list[_EngineState],
+        with_memory: list[_EngineState],
     ) -> Place:
         best: tuple[float, Place] | None = None
         for size in GROUP_SIZES:
-            if size > len(views):
+            if size > len(states):
                 break
-            found = self._group_of(costs, job, views, roomy, size)
+            found = self._group_of_size(costs, job, states, with_memory, size)
             if best is None or found[0] < best[0]:
                 best = found
         return best[1]
 
-    def _group_of(
-        self, costs: EngineCosts, job: Job, views: list[_View], roomy: list[_View], size: int
+    def _group_of_size(
+        self,
+        costs: EngineCosts,
+        job: Job,
+        states: list[_EngineState],
+        with_memory: list[_EngineState],
+        size: int,
     ) -> tuple[float, Place]:
-        """Return the cost and the place of the best group of one size."""
+        """Return the cost and the place of the lowest-cost group of one size."""
         part = read_ms(costs, job.tokens, size)
 
-        def cost(view: _View) -> float:
-            return self._group_cost(costs, view, part)
+        def cost(state: _EngineState) -> float:
+            return self._engine_cost(costs, state, part)
 
-        def head_cost(view: _View) -> float:
-            # The writing engine keeps the whole prompt; short streams there would pause.
-            return cost(view) + 0.5 * view.short_streams + 0.2 * view.streams
+        def head_cost(state: _EngineState) -> float:
+            # The decoding engine keeps the whole prompt, so short streams there would pause.
+            return cost(state) + 0.5 * state.short_streams + 0.2 * state.streams
 
-        head = min(roomy, key=head_cost)
-        others = sorted((view for view in views if view is not head), key=cost)[: size - 1]
-        return self._weighed(costs, job, [head, *others], ())
+        head = min(with_memory, key=head_cost)
+        others = sorted((state for state in states if state is not head), key=cost)[: size - 1]
+        return self._scored_place(costs, job, [head, *others], ())
 
-    def _group_cost(self, costs: EngineCosts, view: _View, part_ms: float) -> float:
-        """Return what an engine costs a group: work made late there, then the wait."""
-        first = self._first_token_ms(costs, view, part_ms) + view.penalty
-        return self._harm(view, part_ms) + first / 1000
+    def _engine_cost(self, costs: EngineCosts, state: _EngineState, part_ms: float) -> float:
+        """Return the cost of using an engine in a group: streams disturbed there, then the wait."""
+        first = self._first_token_ms(costs, state, part_ms) + state.penalty
+        return self._disruption_cost(state, part_ms) + first / 1000
 
-    def _weighed(
-        self, costs: EngineCosts, job: Job, group: list[_View], held: tuple[int, ...]
+    def _scored_place(
+        self, costs: EngineCosts, job: Job, group: list[_EngineState], held: tuple[int, ...]
     ) -> tuple[float, Place]:
-        """Return what a group loses altogether, and the place that it is."""
+        """Return the total cost of a group, and the group as a place."""
         part = read_ms(costs, job.tokens, len(group))
-        harm = sum(self._harm(view, part) for view in group)
-        first_ms = max(self._first_token_ms(costs, view, part) + view.penalty for view in group)
-        late = job.units * _late_share(first_ms, job.target_ms)
-        helpers = HELPER_COST * job.units * (len(group) - 1)
-        total = harm + late + helpers + first_ms / 10_000
-        return total, Place(tuple(view.server for view in group), first_ms, held)
-
-
-def _herd_share(engines: int) -> float:
-    """Return how much of the care against a herd a fleet of this size needs, from 0 to 1."""
-    share = (engines - NO_HERD_ENGINES) / (FULL_HERD_ENGINES - NO_HERD_ENGINES)
+        disruption = sum(self._disruption_cost(state, part) for state in group)
+        first_ms = max(self._first_token_ms(costs, state, part) + state.penalty for state in group)
+        late = job.units * _lateness_loss(first_ms, job.target_ms)
+        group_cost = HELPER_COST * job.units * (len(group) - 1)
+        total = disruption + late + group_cost + first_ms / 10_000
+        return total, Place(tuple(state.server for state in group), first_ms, held)
+
+
+def _herd_avoidance(engines: int) -> float:
+    """Return the strength of herd avoidance in a fleet of this size, from 0 to 1."""
+    share = (engines - HERD_AVOIDANCE_MIN_ENGINES) / (
+        HERD_AVOIDANCE_FULL_ENGINES - HERD_AVOIDANCE_MIN_ENGINES
+    )
     return min(1.0, max(0.0, share))
 
 
-def _drawn_engines(engines: int) -> int:
-    """Return how many engines of a fleet a short prompt looks at."""
+def _sample_size(engines: int) -> int:
+    """Return how many engines of a fleet are considered for a short prompt."""
     more = max(0, engines - DRAWN_ENGINES)
-    return engines - round(more * _herd_share(engines))
+    return engines - round(more * _herd_avoidance(engines))
 
 
-def _late_share(first_ms: float, target_ms: float) -> float:
-    """Return the share of a job that is lost by when its first token is expected.
+def _lateness_loss(first_ms: float, target_ms: float) -> float:
+    """Return the share of a job's weight lost by the expected time of its first token.
 
-    Nothing is well before the target; three quarters at it, since estimates are off by a third;
-    all at four times the target, when most callers have left.
+    Nothing is lost well before the target, three quarters at the target, since estimates are off
+    by a third, and everything at four times the target, when most callers have given up.
     """
     ratio = first_ms / target_ms
-    if ratio <= LATE_FROM:
+    if ratio <= LATENESS_THRESHOLD:
         return 0.0
     if ratio <= 1:
-        return LATE_AT_TARGET * (ratio - LATE_FROM) / (1 - LATE_FROM)
-    return LATE_AT_TARGET + (1 - LATE_AT_TARGET) * min(1.0, (ratio - 1) / 3)
+        return LOSS_AT_TARGET * (ratio - LATENESS_THRESHOLD) / (1 - LATENESS_THRESHOLD)
+    return LOSS_AT_TARGET + (1 - LOSS_AT_TARGET) * min(1.0, (ratio - 1) / 3)
--- a/tests/coordination/test_placement.py
+++ b/tests/coordination/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of where prompts go on engines that compute in passes."""
+"""Tests for the placement of prompts on engines that compute in passes."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 class TestCosts:
-    """The arithmetic of passes."""
+    """The cost model of passes."""
 
     def test_long_prompts_cost_more_than_their_length(self):
         assert read_ms(COSTS, 45_000) == pytest.approx(254.2 + 186.3, abs=1)
@@ -43,22 +43,22 @@
 
 
 class TestShortPrompts:
-    """Short prompts gather where short streams are written, unless that makes them late."""
+    """Short prompts are packed onto engines with short streams unless that delays them too much."""
 
-    def test_they_gather(self):
+    def test_short_prompts_are_packed(self):
         books = Books()
         books.begin("w", Work(SHORT, ("e07",), -1_000.0))
         books.wrote("w")
         assert choose(books, SHORT).servers == ("e07",)
 
-    def test_they_avoid_an_engine_that_reads_a_long_prompt(self):
-        """A clerk's letter lands behind an archive that is being read, and waits seconds."""
+    def test_short_prompt_avoids_engine_that_prefills_a_long_prompt(self):
+        """Behind the prefill of a long prompt, a short prompt would wait for seconds."""
         books = Books()
         for name in ENGINES[:-1]:
             books.begin(name, Work(LONG, (name,), 0.0))
         assert choose(books, SHORT).servers == (ENGINES[-1],)
 
-    def test_full_engines_get_no_more(self):
+    def test_full_engine_gets_no_more(self):
         books = Books()
         for number in range(COSTS.slots):
             books.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
@@ -67,10 +67,10 @@
             books.begin(f"q{number}", Work(SHORT, ("e00",), -1_000.0))
         assert choose(books, SHORT, ["e00"]) is None
 
-    def test_a_full_engine_goes_before_one_that_reads_for_seconds(self):
-        """In a burst all slots are taken but for engines that read an archive.
+    def test_full_engine_is_preferred_to_one_with_a_long_prefill(self):
+        """In a burst, only engines that prefill a long prompt may have free slots.
 
-        A letter that was put beside the archive waited 1.5 s; a slot comes free in 0.3 s.
+        A short prompt placed there waited 1.5 s, while a slot elsewhere is freed within 0.3 s.
         """
         books = Books()
         for number in range(COSTS.slots):
@@ -83,22 +83,22 @@
 
 
 class TestLongPrompts:
-    """Long prompts are read in thin parts, away from streams that would suffer."""
+    """Long prompts are prefilled in small parts, away from streams that would pause too long."""
 
-    def test_they_are_split(self):
+    def test_long_prompt_is_split(self):
         place = choose(Books(), LONG)
         assert len(place.servers) >= 2
         assert place.first_token_ms < LONG.target_ms / 2
 
-    def test_they_spare_short_streams(self):
-        """An archive read where letters are written stops them for longer than they may."""
+    def test_long_prompt_avoids_short_streams(self):
+        """A long prefill would pause short streams on the same engine for too long."""
         books = Books()
         for number, name in enumerate(ENGINES[:10]):
             books.begin(f"w{number}", Work(SHORT, (name,), -1_000.0))
             books.wrote(f"w{number}")
         assert set(choose(books, LONG).servers) <= set(ENGINES[10:])
 
-    def test_the_head_has_room_for_all(self):
+    def test_decoding_engine_has_memory_for_the_whole_prompt(self):
         books = Books()
         for number, name in enumerate(ENGINES[:-1]):
             books.begin(f"w{number}", Work(Job(250_000, 0, 3_000, 1_000), (name,), 0.0))
@@ -106,7 +106,7 @@
 
 
 class TestHugePrompts:
-    """Prompts above one engine's memory are kept by several."""
+    """Prompts larger than one engine's memory are stored across several."""
 
     def test_parts_fit(self):
         place = choose(Books(), HUGE)
@@ -116,7 +116,7 @@
         assert 0 < head <= COSTS.memory_tokens
         assert len(place.held) == len(place.servers) - 1
 
-    def test_no_place_where_memory_is_taken(self):
+    def test_no_place_without_free_memory(self):
         books = Books()
         for name in ENGINES:
             books.begin(name, Work(Job(300_000, 0, 3_000, 1_000), (name,), 0.0))
@@ -124,24 +124,24 @@
 
 
 class TestBooks:
-    """What is entered is struck out again, by its end or by time."""
+    """Work is removed again, at its end or after a timeout."""
 
-    def test_helpers_are_free_after_the_first_token(self):
+    def test_prefill_only_engine_is_released_after_the_first_token(self):
         books = Books()
         books.begin("w", Work(LONG, ("e00", "e01"), 0.0))
         books.wrote("w")
         assert not books.engine("e01").works
         assert books.engine("e00").works
 
-    def test_keepers_are_not(self):
+    def test_engine_that_keeps_a_part_is_not_released(self):
         books = Books()
         books.begin("w", Work(HUGE, ("e00", "e01", "e02"), 0.0, held=(300_000, 0)))
         books.wrote("w")
         assert books.engine("e01").works
         assert not books.engine("e02").works
 
-    def test_a_lost_end_is_forgotten(self):
-        """A VM dies with its work in the others' books; it must not fill them for ever."""
+    def test_work_without_an_end_expires(self):
+        """Work of a VM that died must not stay in the tables of the others for ever."""
         books = Books()
         books.begin("w", Work(LONG, ("e00", "e01"), 0.0))
         books.forget(60_000.0, [])
@@ -149,20 +149,20 @@
 
 
 class TestBurst:
-    """Replay of a morning burst: 60 letters a second and two archives a second at 23 engines.
+    """Replay of a burst of 60 short and two long prompts a second on 23 engines.
 
-    Without thin parts and sparing, an archive stops a letter's stream for 3 s at a time.  The
-    share of archive parts that land beside letters must stay small.
+    If long prompts are not split and kept away from short streams, each pauses a short stream for
+    3 s.  The share of long-prompt parts placed on engines with short streams must stay small.
     """
 
-    def test_archives_rarely_hit_letters(self):
+    def test_long_prompts_rarely_disrupt_short_streams(self):
         rng = random.Random(5)
         books = Books()
         placement = Placement(books)
         engines = offered([f"e{number}" for number in range(23)])
         events = [(rng.uniform(0, 8_000), SHORT) for _ in range(480)]
         events += [(rng.uniform(0, 8_000), LONG) for _ in range(16)]
-        ends, hits, parts = [], 0, 0
+        ends, disrupted, parts = [], 0, 0
         for number, (at, job) in enumerate(sorted(events, key=lambda item: item[0])):
             while ends and ends[0][0] <= at:
                 _, kind, name = ends.pop(0)
@@ -171,7 +171,7 @@
             if job is LONG:
                 parts += len(place.servers)
                 extra = read_ms(COSTS, job.tokens, len(place.servers))
-                hits += sum(
+                disrupted += sum(
                     any(work.job is SHORT for work in books.engine(name).works.values())
                     and extra > 0.8 * SHORT.pause_ms
                     for name in place.servers
@@ -181,26 +181,27 @@
             ends.append((at + place.first_token_ms + 1_700, "end", str(number)))
             ends.sort()
         assert parts
-        assert hits / parts < 0.1
+        assert disrupted / parts < 0.1
 
 
 class TestHerd:
-    """Replay of 130 letters a second at 78 engines of 6 slots, books late by 30 ms.
+    """Replay of 130 short prompts a second on 78 engines of 6 slots, with work tables late
+    by 2 to 30 ms.
 
-    Entry VMs learn of each other's work only after a while.  If all choose the best engine of the
-    same books, it is overrun: letters meet full engines and wait 0.3 to 0.9 s for a slot.
+    Entry VMs learn of each other's work with a delay.  If all of them choose the best engine of the
+    same table, it is overloaded: prompts reach a full engine and wait 0.3 to 0.9 s for a slot.
     """
 
     COSTS = COSTS._replace(slots=6, memory_tokens=267_750)
 
-    def overrun_share(self, lag_ms: float, seed: int) -> float:
-        """Return the share of letters that meet an engine with no free slot."""
+    def full_engine_share(self, lag_ms: float, seed: int) -> float:
+        """Return the share of prompts that reach an engine without a free slot."""
         rng = random.Random(seed)
         books = Books()
         placement = Placement(books)
         engines = offered([f"e{number}" for number in range(78)])
         taken = {item.server: 0 for item in engines}
-        news, overrun, count = [], 0, 0
+        news, to_full, count = [], 0, 0
         at = 0.0
         while at < 6_000:
             at += rng.expovariate(130 / 1_000)
@@ -216,7 +217,7 @@
                     books.end(name)
             place = placement.choose(self.COSTS, SHORT, engines, at, rng)
             name, server = str(count), place.servers[0]
-            overrun += taken[server] >= self.COSTS.slots
+            to_full += taken[server] >= self.COSTS.slots
             taken[server] += 1
             count += 1
             end = at + rng.uniform(600, 3_000)
@@ -225,8 +226,8 @@
             news.append((end, "free", name, server))
             news.append((end + lag_ms, "ended", name, None))
             news.sort(key=lambda item: item[0])
-        return overrun / count
+        return to_full / count
 
-    @pytest.mark.parametrize(("lag_ms", "most"), [(2.0, 0.005), (10.0, 0.03), (30.0, 0.08)])
-    def test_few_meet_a_full_engine(self, lag_ms, most):
-        assert self.overrun_share(lag_ms, 3) < most
+    @pytest.mark.parametrize(("lag_ms", "max_share"), [(2.0, 0.005), (10.0, 0.03), (30.0, 0.08)])
+    def test_few_prompts_reach_a_full_engine(self, lag_ms, max_share):
+        assert self.full_engine_share(lag_ms, 3) < max_share
