--- a/siskinspoke/coordination/prefixes.py
+++ b/siskinspoke/coordination/prefixes.py
@@ -1,4 +1,7 @@
-"""A hint of which server caches which prompt prefix, from own dispatches and cache events."""
+"""An approximate index of the prompt prefixes that each server caches.
+
+It is built from this VM's own dispatches and the servers' cache events.
+"""
 
 from collections import OrderedDict
 
@@ -6,16 +9,16 @@
 
 
 class PrefixIndex:
-    """Remember prefix blocks per server, least recently used first to go.
+    """An LRU index of prefix blocks per server.
 
-    It is a hint: a wrong entry costs a slower first token and never a wrong answer.
+    A wrong entry can delay a first token but never causes a wrong answer.
     """
 
     def __init__(self) -> None:
         self._blocks: dict[str, OrderedDict[int, None]] = {}
 
     def stored(self, server: str, blocks: list[int]) -> None:
-        """Note that a server holds these blocks."""
+        """Record that a server holds these blocks."""
         held = self._blocks.setdefault(server, OrderedDict())
         for block in blocks:
             held[block] = None
@@ -24,17 +27,17 @@
             held.popitem(last=False)
 
     def removed(self, server: str, blocks: list[int]) -> None:
-        """Note that a server no longer holds these blocks."""
+        """Record that a server no longer holds these blocks."""
         held = self._blocks.get(server, {})
         for block in blocks:
             held.pop(block, None)
 
     def reset(self, server: str) -> None:
-        """Forget a server, after a gap in its events or a restart."""
+        """Remove all blocks of a server, after a gap in its events or a restart."""
         self._blocks.pop(server, None)
 
     def leading(self, server: str, blocks: list[int]) -> int:
-        """Return how many leading blocks of a prompt a server holds."""
+        """Return the number of consecutive blocks at the start of a prompt that a server holds."""
         held = self._blocks.get(server)
         if not held:
             return 0
--- a/siskinspoke/coordination/routes.py
+++ b/siskinspoke/coordination/routes.py
@@ -1,6 +1,6 @@
-"""The route table: which service a request goes to, for whom, and within which times.
+"""The route table: which service handles a request, for which customers and with which timeouts.
 
-A table is immutable; a change of configuration puts another one in force as a whole.
+A table is immutable; a configuration change replaces it as a whole.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 
 
 class CallKind(Enum):
-    """What may be repeated of a request."""
+    """Whether and how a request may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -20,17 +20,17 @@
 
 
 class Share(NamedTuple):
-    """One service of a route, and the share of its requests that go there."""
+    """One service of a route, and its weight in the distribution of the route's requests."""
 
     service: str
     weight: float
 
 
 class EngineCosts(NamedTuple):
-    """What work costs a model engine, in milliseconds where a name ends so.
+    """The cost model of a model engine; names with ``_ms`` are in milliseconds.
 
-    An engine computes in passes.  A pass with streams that are writing makes ``pass_steps``
-    steps and gives each of them one event.  Prompts are read inside the passes.
+    An engine computes in passes.  A pass with decoding streams runs ``pass_steps`` steps and emits
+    one event for each of them.  Prompts are prefilled within the passes.
     """
 
     slots: int
@@ -44,7 +44,7 @@
 
 
 class Service(NamedTuple):
-    """A group of equal backend servers; ``engine`` is None for a plain service."""
+    """A group of interchangeable backend servers; ``engine`` is None for a plain service."""
 
     name: str
     health_path: str
@@ -53,10 +53,10 @@
 
 
 class Route(NamedTuple):
-    """Requests of one host and path prefix; times are in milliseconds.
+    """The route of requests with one host and path prefix; times are in milliseconds.
 
-    ``timeout_ms`` bounds the whole answer.  ``target_ms`` is the time in which it is of full
-    use, and ``pause_ms`` the longest pause between events of a stream that is.
+    ``timeout_ms`` limits the whole answer.  ``target_ms`` is the time within which the answer is
+    of full use, and ``pause_ms`` the longest pause between events with which a stream is.
     """
 
     name: str
@@ -74,7 +74,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         match self.kind:
             case CallKind.IDEMPOTENT:
                 return True
@@ -85,7 +85,7 @@
 
 
 class Customer(NamedTuple):
-    """Who pays for requests, the keys that prove it, and a rank that goes before the route's."""
+    """A customer, its API keys, and a priority that overrides the route's."""
 
     name: str
     keys: tuple[str, ...]
@@ -93,7 +93,7 @@
 
 
 class ClientLimits(NamedTuple):
-    """What a client may send and how long it may take; the defaults hold before any table."""
+    """Size and time limits for client requests; the defaults apply until a table is loaded."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -123,27 +123,27 @@
             self._by_host.setdefault(route.host, []).append(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix is the longest that begins the path."""
+        """Return the host's route with the longest prefix of the path, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def customer_of(self, key: str) -> Customer | None:
-        """Return the customer who holds a key."""
+        """Return the customer that a key belongs to, or None."""
         return self._by_key.get(key)
 
     @property
     def needs_keys(self) -> bool:
-        """Tell whether requests carry keys at all."""
+        """Return whether requests must carry a key."""
         return bool(self.customers)
 
 
 def table_faults(table: RouteTable) -> list[Fault]:
-    """Return all that makes a table unfit to be in force."""
+    """Return all reasons why a table is invalid."""
     return [
         *_service_faults(table),
-        *_place_faults(table),
+        *_duplicate_faults(table),
         *_weight_faults(table),
         *_time_faults(table),
         *_key_faults(table),
@@ -157,20 +157,20 @@
                 yield Fault(
                     "routes.E201",
                     f"route {route.name}",
-                    f"goes to {share.service!r}, which is not a service",
-                    "name one of the services, or add it",
+                    f"service {share.service!r} does not exist",
+                    "use the name of a configured service, or add the service",
                 )
 
 
-def _place_faults(table: RouteTable) -> Iterable[Fault]:
+def _duplicate_faults(table: RouteTable) -> Iterable[Fault]:
     counts = Counter((route.host, route.prefix) for route in table.routes)
     for (host, prefix), count in counts.items():
         if count > 1:
             yield Fault(
                 "routes.E202",
                 f"host {host}, prefix {prefix}",
-                f"{count} routes share the place",
-                "keep one of them",
+                f"{count} routes have the same host and prefix",
+                "keep only one of them",
             )
 
 
@@ -181,8 +181,8 @@
             yield Fault(
                 "routes.E203",
                 f"route {route.name}",
-                "its weights add up to nothing",
-                "give at least one service a weight above 0, and none a weight below",
+                "has a negative weight, or only weights of 0",
+                "give at least one service a weight above 0, and none a negative weight",
             )
 
 
@@ -190,7 +190,10 @@
     for route in table.routes:
         if route.timeout_ms <= 0:
             yield Fault(
-                "routes.E204", f"route {route.name}", "its timeout is 0", "give it some time"
+                "routes.E204",
+                f"route {route.name}",
+                "timeout is not positive",
+                "set a timeout above 0 ms",
             )
 
 
@@ -204,5 +207,5 @@
                     "routes.E205",
                     f"customer {customer.name}",
                     f"shares a key with {owner}",
-                    "give each customer keys of its own",
+                    "give each customer its own keys",
                 )
--- a/tests/coordination/test_routes.py
+++ b/tests/coordination/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of the route table and of what makes one unfit."""
+"""Tests for the route table and its validation."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def route(name="r", host="h", prefix="/a/", shares=TO_S, timeout_ms=100.0, **more):
-    """Return a route with the fields that a test does not care about filled in."""
+    """Return a route with defaults for all other fields."""
     fields = {
         "kind": CallKind.IDEMPOTENT,
         "target_ms": 50.0,
@@ -37,7 +37,7 @@
 
 
 class TestFinding:
-    """Which route a request takes."""
+    """Lookup of routes and customers."""
 
     def test_longest_prefix_wins(self):
         short, long = route("short", prefix="/a/"), route("long", prefix="/a/b/")
@@ -62,15 +62,15 @@
             (CallKind.STREAM, False, False),
         ],
     )
-    def test_what_may_be_repeated(self, kind, resumable, repeatable):
+    def test_repeatable(self, kind, resumable, repeatable):
         assert route(kind=kind, resumable=resumable).repeatable is repeatable
 
 
 class TestFaults:
-    """Each fault has its id; a table with one is never in force."""
+    """Each fault has an id; a table with a fault is never applied."""
 
     @pytest.mark.parametrize(
-        ("fault", "unfit"),
+        ("fault", "invalid"),
         [
             ("routes.E201", table(route(shares=(Share("nobody", 1),)))),
             ("routes.E202", table(route("one"), route("two"))),
@@ -83,8 +83,8 @@
             ),
         ],
     )
-    def test_unfit_tables(self, fault, unfit):
-        assert [found.id for found in table_faults(unfit)] == [fault]
+    def test_invalid_tables(self, fault, invalid):
+        assert [found.id for found in table_faults(invalid)] == [fault]
 
-    def test_fit_table(self):
+    def test_valid_table(self):
         assert table_faults(table(route(), customers=[Customer("a", ("k",))])) == []
--- a/tests/coordination/test_routing.py
+++ b/tests/coordination/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routing, fairness and the retry budget."""
+"""Tests for routing, fair sharing, the retry budget and the choice of watchers."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 def router(*announcements):
-    """Return a router that has heard some servers."""
+    """Return a router that knows the servers of these announcements."""
     directory = Directory(3_000)
     for item in announcements:
         directory.hear(item, 0)
@@ -47,31 +47,31 @@
     return Work("redactor", tokens, output, 0, 0, list(blocks), remaining)
 
 
-def choose(chooser, item):
-    """Choose at time 1."""
-    return chooser.choose(item, 1, random.Random(RNG_SEED))
+def choose(selector, item):
+    """Return the router's choice at time 1."""
+    return selector.choose(item, 1, random.Random(RNG_SEED))
 
 
 class TestChoice:
-    """Where a request goes."""
+    """The choice of servers."""
 
     def test_shorter_wait_wins(self):
         chosen = choose(router(engine(1, queued=90_000), engine(2)), work()).ok
         assert chosen.servers[0].announcement.server == "engine-0002"
 
     def test_cached_prefix_wins(self):
-        chooser = router(engine(1), engine(2))
+        selector = router(engine(1), engine(2))
         blocks = list(range(30))
-        chooser.prefixes.stored("engine-0002", blocks)
-        chosen = choose(chooser, work(tokens=8_000, blocks=blocks)).ok
+        selector.prefixes.stored("engine-0002", blocks)
+        chosen = choose(selector, work(tokens=8_000, blocks=blocks)).ok
         assert chosen.servers[0].announcement.server == "engine-0002"
 
-    def test_own_dispatches_count_before_the_report_holds_them(self):
-        chooser = router(engine(1), engine(2))
-        records = {r.announcement.server: r for r in chooser.directory.live(1)}
+    def test_own_dispatches_count_before_they_are_reported(self):
+        selector = router(engine(1), engine(2))
+        records = {r.announcement.server: r for r in selector.directory.live(1)}
         for _ in range(5):
-            chooser.dispatched(records["engine-0001"], work(20_000), 20_000, 1)
-        assert choose(chooser, work()).ok.servers[0].announcement.server == "engine-0002"
+            selector.dispatched(records["engine-0001"], work(20_000), 20_000, 1)
+        assert choose(selector, work()).ok.servers[0].announcement.server == "engine-0002"
 
     def test_group_for_a_prompt_larger_than_one_engine(self):
         chosen = choose(router(engine(1), engine(2), engine(3)), work(900_000, 60_000)).ok
@@ -80,10 +80,10 @@
 
 
 class TestRefusal:
-    """What cannot be served is refused at once, with the right word."""
+    """A request that cannot be served is refused at once, with the right code."""
 
     @pytest.mark.parametrize(
-        ("servers", "item", "code", "comes_back"),
+        ("servers", "item", "code", "retryable"),
         [
             ((), work(), ResultCode.NO_SERVER, True),
             ((engine(1, queued=900_000),), work(), ResultCode.OVERLOADED, True),
@@ -91,18 +91,18 @@
             ((engine(1),), work(900_000), ResultCode.PROMPT_TOO_LONG, False),
         ],
     )
-    def test_code_and_time_to_come_back(self, servers, item, code, comes_back):
+    def test_code_and_retry_after(self, servers, item, code, retryable):
         refused = choose(router(*servers), item).error
         assert refused.code is code
-        assert (refused.retry_after_ms is not None) is comes_back
+        assert (refused.retry_after_ms is not None) is retryable
 
-    def test_times_to_come_back_are_spread(self):
-        chooser, rng = router(), random.Random(RNG_SEED)
-        assert len({chooser.choose(work(), 1, rng).error.retry_after_ms for _ in range(50)}) > 40
+    def test_retry_after_has_jitter(self):
+        selector, rng = router(), random.Random(RNG_SEED)
+        assert len({selector.choose(work(), 1, rng).error.retry_after_ms for _ in range(50)}) > 40
 
 
 class TestFairness:
-    """Shares by tokens of work."""
+    """Fair shares by tokens of work."""
 
     def test_ratio_of_a_heavy_customer(self):
         shares = FairShares(10_000)
@@ -117,7 +117,7 @@
 
 
 class TestRetryBudget:
-    """Retries are a share of first attempts."""
+    """Retries are limited to a share of first attempts."""
 
     def test_share(self):
         budget = RetryBudget(0.25)
@@ -127,9 +127,9 @@
 
 
 class TestWatchers:
-    """Each server is followed by few VMs, and all VMs agree by whom."""
+    """Each server has few watchers, and all VMs agree on them."""
 
-    def test_bounded_and_even_at_target_size(self):
+    def test_watchers_are_bounded_and_even_at_target_size(self):
         entries = [EntryVM(f"e{n}", f"d{n % 4}", "127.0.0.1", 1, 2, "") for n in range(420)]
         counts = dict.fromkeys((entry.name for entry in entries), 0)
         for server in range(870):
@@ -140,23 +140,25 @@
 
 
 class TestPolicyBounds:
-    """Regression bounds of the policy, as ratios, in virtual time."""
+    """Regression bounds of the routing policy, as ratios, in simulated time."""
 
     def run(self, policy, rate, count, **changes):
         scenario = Scenario(MIXES["litoral"], policy, rate, count, **changes)
         return PolicyBench(scenario).run()
 
-    def test_shorts_hardly_notice_longs(self):
+    def test_long_prompts_hardly_delay_short_ones(self):
         product = self.run(Product(), 45, 2_000)
         alone = self.run(Product(), 45, 2_000, without_longs=True)
         baseline = self.run(LeastTokens(), 45, 2_000, admission=False)
-        harm = percentile(first_tokens(product, 0), 0.95) / percentile(first_tokens(alone, 0), 0.95)
-        assert harm < 1.35
+        slowdown = percentile(first_tokens(product, 0), 0.95) / percentile(
+            first_tokens(alone, 0), 0.95
+        )
+        assert slowdown < 1.35
         assert percentile(first_tokens(product, 0), 0.95) * 3 < percentile(
             first_tokens(baseline, 0), 0.95
         )
 
-    def test_overload_starves_nobody(self):
+    def test_overload_starves_no_customer_or_length_class(self):
         results = self.run(Product(), 120, 6_000)
         late = sum(not item.on_time and not item.refused for item in results)
         assert late <= 0.005 * len(results)
