--- a/siskinspoke/coordination/fullness.py
+++ b/siskinspoke/coordination/fullness.py
@@ -1,17 +1,17 @@
-"""Which services had no room for a prompt a moment ago, beside the servers that it leaves out."""
+"""Cache of recent searches that found no room for a prompt, by service and excluded servers."""
 
 from typing import NamedTuple
 
-# Many that wait for room in one fleet learn the same: after one has found none, the others do not
-# look for so long.  Otherwise many silent streams of one VM would take all of its processor.
-# Milliseconds.
+# How long a failed search is cached.  Requests that wait for room in the same fleet get the same
+# result; without the cache, the searches of many silent streams would use all of a VM's CPU time.
 FULL_MS = 100.0
 
 
 class Look(NamedTuple):
-    """Where room is looked for: those that wait at one engine leave out the same one.
+    """Where room is searched for.  Requests that wait at the same engine exclude the same one.
 
-    What a request finds whose own engine is the only one with room holds for no other.
+    ``left_out`` is part of the key because a request whose own engine is the only one with room
+    finds none, while requests at other engines can use it.
     """
 
     service: str
@@ -19,23 +19,23 @@
     near_only: bool
 
 
-class _Full(NamedTuple):
+class _NoRoom(NamedTuple):
     tokens: int
     at: float
 
 
 class Fullness:
-    """Remember for a moment that a look found no room; times are in milliseconds."""
+    """Remember failed searches for a short time; times are in milliseconds."""
 
     def __init__(self) -> None:
-        self._full: dict[Look, _Full] = {}
+        self._found: dict[Look, _NoRoom] = {}
 
     def note(self, look: Look, tokens: int, now: float) -> None:
-        """Note that there was no room for a prompt of so many tokens."""
-        self._full = {key: item for key, item in self._full.items() if now - item.at < FULL_MS}
-        self._full[look] = _Full(tokens, now)
+        """Record that there was no room for a prompt of this many tokens."""
+        self._found = {key: item for key, item in self._found.items() if now - item.at < FULL_MS}
+        self._found[look] = _NoRoom(tokens, now)
 
     def is_full(self, look: Look, tokens: int, now: float) -> bool:
-        """Tell whether the same look need not be made now for a prompt of so many tokens."""
-        found = self._full.get(look)
+        """Return whether the same search recently failed for a prompt of at most this length."""
+        found = self._found.get(look)
         return found is not None and tokens >= found.tokens and now - found.at < FULL_MS
--- a/siskinspoke/coordination/left_out.py
+++ b/siskinspoke/coordination/left_out.py
@@ -1,29 +1,29 @@
-"""Which servers one request passes over, and for how long."""
+"""The servers that are excluded for one request, and for how long."""
 
 from siskinspoke.coordination.directory import Directory
 
-# A server that was full or silent may have room again by now: with all its slots taken an engine
-# ends a stream several times a second.  To ask sooner would use up the few sendings that a request
-# has, at the same server, while that one is still full.  Milliseconds.
-PUT_OFF_MS = 1_000.0
+# A server that was full or silent may have room again after this time: a full engine ends a stream
+# several times a second.  A shorter exclusion would use up the few attempts of a request at the
+# same server while it is still full.
+TEMPORARY_EXCLUSION_MS = 1_000.0
 
 
 class LeftOut:
-    """Remember who failed a request, and who could not take it for a while."""
+    """The servers that failed one request, and those excluded for it temporarily."""
 
     def __init__(self) -> None:
         self._failed: set[tuple[str, int]] = set()
-        self._until: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
     def fail(self, start: tuple[str, int]) -> None:
-        """Pass a server over until it starts anew: the new process has failed nobody."""
+        """Exclude a server until it restarts, since the failure was of the old process."""
         self._failed.add(start)
 
     def put_off(self, server: str, now: float) -> None:
-        """Pass a server over for a while."""
-        self._until[server] = now + PUT_OFF_MS
+        """Exclude a server for TEMPORARY_EXCLUSION_MS."""
+        self._excluded_until[server] = now + TEMPORARY_EXCLUSION_MS
 
     def names(self, directory: Directory, now: float) -> set[str]:
-        """Return the servers that are passed over now."""
+        """Return the servers that are excluded now."""
         failed = {name for name, start in self._failed if not directory.superseded(name, start)}
-        return failed | {name for name, until in self._until.items() if now < until}
+        return failed | {name for name, until in self._excluded_until.items() if now < until}
--- a/siskinspoke/coordination/moving.py
+++ b/siskinspoke/coordination/moving.py
@@ -1,22 +1,22 @@
-"""When a stream goes on at another engine because its own is about to read a long prompt.
+"""Decide when a stream moves to another engine because its own is about to prefill a long prompt.
 
-An engine reads and writes in one pass, so a part of a long prompt stops the streams beside it for
-as long as its reading takes.  All entry VMs share their books, so whoever passes such a stream on
-knows that when the reading begins, and need not wait for the silence to show it.  Answers load
-pattern: a prompt of several hundred thousand tokens read by eight engines, with short streams on
-each of them.  Times are in milliseconds.
+An engine prefills and decodes in the same pass, so the prefill of a part of a long prompt pauses
+all streams of that engine until it is done.  Entry VMs share their work tables, so the VM that
+relays such a stream knows of the prefill when it starts and can move the stream before it falls
+silent.  The load pattern behind this is a prompt of several hundred thousand tokens prefilled by
+eight engines, each of which decodes short streams.  Times are in milliseconds.
 """
 
 from typing import NamedTuple
 
 
 class Prospect(NamedTuple):
-    """What lies ahead of a stream: at its engine, and at the best other one.
+    """The expected pause of a stream at its own engine, and at the best other one.
 
-    ``silent_ms`` is how long ago its last event came, ``reads_ms`` how long its engine still reads
-    what others have sent it, ``pause_ms`` the longest pause that is of use.  ``best_ms`` is when
-    the first event of another engine is expected, None where there is none, and ``margin_ms`` by
-    how much such events are late most of the time.
+    ``silent_ms`` is the time since its last event, ``reads_ms`` the remaining prefill time at its
+    engine and ``pause_ms`` the longest acceptable pause.  ``best_ms`` is the expected time to the
+    first event from the best other engine, None if there is none, and ``margin_ms`` the delay
+    beyond it that most such events stay within.
     """
 
     silent_ms: float
@@ -27,9 +27,12 @@
 
 
 def leaves(prospect: Prospect) -> bool:
-    """Tell whether a stream keeps its pause elsewhere, and surely would not where it is."""
+    """Return whether the pause stays acceptable only if the stream moves.
+
+    The margin is applied against moving on both sides.
+    """
     if prospect.best_ms is None:
         return False
-    stays = prospect.silent_ms + prospect.reads_ms - prospect.margin_ms
-    goes = prospect.silent_ms + prospect.best_ms + prospect.margin_ms
-    return goes <= prospect.pause_ms < stays
+    stay_pause_ms = prospect.silent_ms + prospect.reads_ms - prospect.margin_ms
+    move_pause_ms = prospect.silent_ms + prospect.best_ms + prospect.margin_ms
+    return move_pause_ms <= prospect.pause_ms < stay_pause_ms
--- a/tests/coordination/test_left_out.py
+++ b/tests/coordination/test_left_out.py
@@ -1,14 +1,14 @@
-"""Who is passed over for a request, and until when."""
+"""Tests for the servers excluded for a request."""
 
 from siskinspoke.bench.slopes import announcement
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.left_out import PUT_OFF_MS, LeftOut
+from siskinspoke.coordination.left_out import TEMPORARY_EXCLUSION_MS, LeftOut
 
 
 class TestLeftOut:
-    """A failure counts until the server starts anew, fullness and silence for a while."""
+    """A failed server is excluded until it restarts, a full or silent one for a limited time."""
 
-    def test_failed_until_it_starts_anew(self):
+    def test_failed_server_is_excluded_until_it_restarts(self):
         directory = Directory(3_000)
         said = announcement(1, 1, "sala-a")
         directory.hear(said, 0.0)
@@ -18,8 +18,8 @@
         directory.hear(said._replace(incarnation=said.incarnation + 1), 1.0)
         assert left_out.names(directory, 2.0) == set()
 
-    def test_put_off_for_a_while(self):
+    def test_temporary_exclusion_ends(self):
         left_out = LeftOut()
         left_out.put_off("one", 10.0)
-        assert left_out.names(Directory(3_000), 9.0 + PUT_OFF_MS) == {"one"}
-        assert left_out.names(Directory(3_000), 10.0 + PUT_OFF_MS) == set()
+        assert left_out.names(Directory(3_000), 9.0 + TEMPORARY_EXCLUSION_MS) == {"one"}
+        assert left_out.names(Directory(3_000), 10.0 + TEMPORARY_EXCLUSION_MS) == set()
