--- a/siskinspoke/coordination/delays.py
+++ b/siskinspoke/coordination/delays.py
@@ -14,7 +14,7 @@
         self._samples: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)
 
     def add(self, duration: float, now: float) -> None:
-        """Add a duration that was measured at ``now``."""
+        """Add a duration measured at ``now``."""
         self._samples.append((now, duration))
 
     def longest(self, now: float) -> float:
--- a/siskinspoke/coordination/fairness.py
+++ b/siskinspoke/coordination/fairness.py
@@ -1,15 +1,15 @@
-"""Share the fleet between customers by tokens of work, not by requests."""
+"""Fair sharing of the fleet between customers, by tokens of work rather than requests."""
 
 import math
 from dataclasses import dataclass
 
 OUTPUT_TOKEN_WEIGHT = 4
-IDLE_USAGE = 1.0
+IDLE_USAGE_TOKENS = 1.0
 EXCESS_PENALTY = 8.0
 
 
 def work_tokens(prompt_tokens: int, max_tokens: int) -> int:
-    """Return the work of a request in prefill tokens; an output token costs several."""
+    """Return the work of a request in prefill tokens; an output token counts as several."""
     return prompt_tokens + OUTPUT_TOKEN_WEIGHT * max_tokens
 
 
@@ -20,10 +20,10 @@
 
 
 class FairShares:
-    """Remember each customer's recent work, which fades with a time constant.
+    """Track each customer's recent work, which decays exponentially with a time constant.
 
-    The customer with the least work per weight is always let in while the fleet can serve at
-    all; one above its fair share is let in only while waiting times are short.
+    The customer with the least work per weight is always admitted while the fleet can serve
+    anything; one above its fair share is admitted only while waiting times are short.
     """
 
     def __init__(self, window_ms: float):
@@ -31,11 +31,11 @@
         self._usage: dict[str, _Usage] = {}
 
     def set_window(self, window_ms: float) -> None:
-        """Change the time constant, as a new configuration says."""
+        """Change the time constant after a configuration change."""
         self._window_ms = window_ms
 
     def usage(self, customer: str, now: float) -> float:
-        """Return a customer's recent work, faded to ``now``."""
+        """Return a customer's recent work, decayed to ``now``."""
         item = self._usage.get(customer)
         if item is None:
             return 0.0
@@ -46,11 +46,11 @@
         self._usage[customer] = _Usage(self.usage(customer, now) + work, now)
 
     def ratio(self, customer: str, weights: dict[str, float], now: float) -> float:
-        """Return a customer's work over its fair share among the active ones; 1 is fair."""
+        """Return the ratio of a customer's work to its fair share among active customers."""
         active = {}
         for name in list(self._usage):
             used = self.usage(name, now)
-            if used < IDLE_USAGE:
+            if used < IDLE_USAGE_TOKENS:
                 del self._usage[name]
             elif name in weights:
                 active[name] = used
@@ -63,10 +63,11 @@
 
 
 def patience_ms(ratio: float, limit_ms: float) -> float:
-    """Return the longest backlog at which a customer is let in, by its work over its fair share.
+    """Return the longest backlog at which a customer is admitted.
 
-    Up to its share a customer is let in until the limit; above it, the backlog must be shorter
-    the further it is above, so that a customer's burst is refused before it delays others.
+    ``ratio`` is the customer's work over its fair share.  Up to 1 the limit applies unchanged.
+    Above 1 the allowed backlog shrinks as the ratio grows, so that a customer's burst is refused
+    before it delays others.
     """
     if ratio <= 1:
         return limit_ms
--- a/tests/coordination/test_cells.py
+++ b/tests/coordination/test_cells.py
@@ -1,6 +1,6 @@
-"""Tests of how a large fleet is parted into cells."""
+"""Tests for the partition of a large fleet into cells."""
 
-from siskinspoke.coordination.cells import LEAST_ENGINES, MOST_VMS, Cell, Cells, Server
+from siskinspoke.coordination.cells import MIN_CELL_ENGINES, MOST_VMS, Cell, Cells, Server
 
 DOMAINS = ("a", "b", "c", "d", "e")
 
@@ -14,7 +14,7 @@
 
 
 class TestSize:
-    """What one VM hears of stays the same while the fleet grows."""
+    """The VMs and servers of a cell don't grow with the fleet."""
 
     def test_a_small_site_is_one_cell(self):
         cells = Cells(vms(9), engines(23))
@@ -22,7 +22,7 @@
         assert len(cells.servers(cells.of("10.0.0.0"), "m")) == 23
 
     def test_vms_of_a_cell_do_not_grow_with_the_fleet(self):
-        """With all VMs in one cell, each start of work is told to every VM of the fleet."""
+        """With all VMs in one cell, every VM of the fleet would be notified of each request."""
         for count in (60, 195, 420, 2_000):
             cells = Cells(vms(count), engines(count))
             sizes = [len(cells.hosts(cell)) for cell in cells.all]
@@ -33,12 +33,12 @@
         for count in (195, 420, 2_000):
             cells = Cells(vms(count), engines(count * 2))
             sizes = [len(cells.servers(cell, "m")) for cell in cells.all]
-            assert min(sizes) >= LEAST_ENGINES
+            assert min(sizes) >= MIN_CELL_ENGINES
             assert max(sizes) <= 3 * MOST_VMS
 
 
 class TestShares:
-    """Each engine is in somebody's books, and VMs use what is in theirs."""
+    """Each engine's work is tracked by the cells that use the engine."""
 
     def test_each_engine_is_watched_by_the_cells_that_use_it(self):
         cells = Cells(vms(195), engines(195))
@@ -49,18 +49,18 @@
             assert all(cell.domain == server.domain for cell in watching)
 
     def test_a_rare_service_is_shared_by_the_cells_of_a_domain(self):
-        """Five engines dealt out to eight cells would leave some VMs without any."""
+        """Five engines distributed over eight cells would leave some VMs without any."""
         cells = Cells(vms(195), engines(25))
         for cell in cells.all:
             assert len(cells.servers(cell, "m")) == 5
 
     def test_engines_of_a_domain_without_vms_are_watched(self):
-        """All entry VMs of a domain are lost; its engines are well and must not lie idle."""
+        """After the loss of all entry VMs of a domain, its healthy engines must not be idle."""
         servers = engines(195)
         cells = Cells(vms(195, DOMAINS[:4]), servers)
         assert all(cells.watching([server.name]) for server in servers)
 
-    def test_domains_keep_to_themselves(self):
+    def test_cells_only_use_engines_of_their_domain(self):
         cells = Cells(vms(195), engines(195))
         domain_of = {server.name: server.domain for server in engines(195)}
         for cell in cells.all:
@@ -68,9 +68,9 @@
 
 
 class TestSteadiness:
-    """A VM or a server that comes or goes must not empty the books of all others."""
+    """A VM or server that joins or leaves must not reassign all others."""
 
-    def test_one_vm_less_moves_few(self):
+    def test_removing_one_vm_moves_few(self):
         before = Cells(vms(195), engines(195))
         known = vms(195)
         known.pop("10.0.3.3")
@@ -78,7 +78,7 @@
         moved = [host for host in known if before.of(host) != after.of(host)]
         assert len(moved) <= 1
 
-    def test_one_engine_less_moves_few(self):
+    def test_removing_one_engine_moves_few(self):
         before = Cells(vms(195), engines(195))
         after = Cells(vms(195), engines(195)[1:])
         moved = [
@@ -89,7 +89,7 @@
         assert len(moved) <= 1
 
     def test_all_vms_agree(self):
-        """VMs hear of each other in different orders."""
+        """VMs learn of each other in different orders."""
         one = Cells(vms(195), engines(195))
         other = Cells(dict(reversed(vms(195).items())), list(reversed(engines(195))))
         assert all(one.of(host) == other.of(host) for host in vms(195))
