--- a/siskinspoke/coordination/books.py
+++ b/siskinspoke/coordination/books.py
@@ -35,7 +35,7 @@
     pause_ms: float
 
     @property
-    def units(self) -> float:
+    def weight(self) -> float:
         """Return the work lost if the answer is late, relative to a short prompt."""
         return 1.0 + self.tokens / TOKENS_PER_WEIGHT_UNIT
 
--- a/siskinspoke/coordination/cells.py
+++ b/siskinspoke/coordination/cells.py
@@ -69,7 +69,7 @@
         self._hosts: dict[Cell, list[str]] = {}
         self._cell_of: dict[str, Cell] = {}
         self._servers: dict[tuple[Cell, str], set[str]] = {}
-        self._watching: dict[str, tuple[Cell, ...]] = {}
+        self._tracking_cells: dict[str, tuple[Cell, ...]] = {}
         single_cell = len(vms) <= MOST_VMS
         by_domain: dict[str, list[str]] = {}
         for host, domain in vms.items():
@@ -94,9 +94,9 @@
         slices = _slice_count(len(names), len(cells))
         cells_per_slice = len(cells) // slices
         for number, group in enumerate(_partition(names, slices)):
-            watching = tuple(cells[number * cells_per_slice : (number + 1) * cells_per_slice])
-            self._watching |= dict.fromkeys(group, watching)
-            for cell in watching:
+            cells_of_slice = tuple(cells[number * cells_per_slice : (number + 1) * cells_per_slice])
+            self._tracking_cells |= dict.fromkeys(group, cells_of_slice)
+            for cell in cells_of_slice:
                 self._servers[cell, service] = set(group)
 
     @property
@@ -118,7 +118,7 @@
 
     def watching(self, servers: Iterable[str]) -> set[Cell]:
         """Return the cells that track the work of any of these servers."""
-        return {cell for server in servers for cell in self._watching.get(server, ())}
+        return {cell for server in servers for cell in self._tracking_cells.get(server, ())}
 
 
 def _owning_domain(domain: str, by_domain: Mapping[str, list[str]]) -> str:
--- a/siskinspoke/coordination/followers.py
+++ b/siskinspoke/coordination/followers.py
@@ -26,31 +26,33 @@
     """
 
     def __init__(self, peers: list[str], next_index: int, now: float, is_counted: IsCounted):
-        self._items = {peer: Progress(next_index, now) for peer in peers}
+        self._progress = {peer: Progress(next_index, now) for peer in peers}
         self._is_counted = is_counted
 
     def __iter__(self):
-        return iter(self._items.items())
+        return iter(self._progress.items())
 
     def find(self, name: str) -> Progress | None:
         """Return the progress of one replica, or None."""
-        return self._items.get(name)
+        return self._progress.get(name)
 
     def follow(self, names: Iterable[str], next_index: int, now: float) -> None:
         """Start to track new replicas, and stop tracking those not named."""
         wanted = set(names)
-        for name in wanted - self._items.keys():
-            self._items[name] = Progress(next_index, now)
-        for name in self._items.keys() - wanted:
-            del self._items[name]
+        for name in wanted - self._progress.keys():
+            self._progress[name] = Progress(next_index, now)
+        for name in self._progress.keys() - wanted:
+            del self._progress[name]
 
     def silent_since(self, name: str) -> float:
         """Return the time at which a replica was last heard from."""
-        return self._items[name].heard_at
+        return self._progress[name].heard_at
 
     def _counted_items(self) -> list[tuple[str, Progress]]:
         return [
-            pair for pair in self._items.items() if self._is_counted(pair[0], pair[1].incarnation)
+            pair
+            for pair in self._progress.items()
+            if self._is_counted(pair[0], pair[1].incarnation)
         ]
 
     def heard_since(self, since: float) -> int:
@@ -60,7 +62,7 @@
         """
         return sum(
             item.heard_at > since
-            for name, item in self._items.items()
+            for name, item in self._progress.items()
             if not item.incarnation or self._is_counted(name, item.incarnation)
         )
 
--- a/siskinspoke/coordination/left_out.py
+++ b/siskinspoke/coordination/left_out.py
@@ -12,12 +12,12 @@
     """The servers that failed one request, and those excluded for it temporarily."""
 
     def __init__(self) -> None:
-        self._failed: set[tuple[str, int]] = set()
+        self._failed_starts: set[tuple[str, int]] = set()
         self._excluded_until: dict[str, float] = {}
 
     def fail(self, start: tuple[str, int]) -> None:
         """Exclude a server until it restarts, since the failure was of the old process."""
-        self._failed.add(start)
+        self._failed_starts.add(start)
 
     def put_off(self, server: str, now: float) -> None:
         """Exclude a server for TEMPORARY_EXCLUSION_MS."""
@@ -25,5 +25,7 @@
 
     def names(self, directory: Directory, now: float) -> set[str]:
         """Return the servers that are excluded now."""
-        failed = {name for name, start in self._failed if not directory.superseded(name, start)}
+        failed = {
+            name for name, start in self._failed_starts if not directory.superseded(name, start)
+        }
         return failed | {name for name, until in self._excluded_until.items() if now < until}
--- a/siskinspoke/coordination/placement.py
+++ b/siskinspoke/coordination/placement.py
@@ -106,8 +106,8 @@
 class Placement:
     """Choose engines for jobs, based on the in-flight work in ``books``."""
 
-    def __init__(self, books: Books):
-        self.books = books
+    def __init__(self, work_table: Books):
+        self.books = work_table
 
     def _state(self, costs: EngineCosts, candidate: Candidate, now: float) -> _EngineState:
         engine = self.books.engine(candidate.server)
@@ -121,7 +121,7 @@
                 shorts += work.job.short
                 # A stream whose prefill is pending will decode in later passes, so it counts too.
                 min_pause = min(min_pause, work.job.pause_ms)
-                weight += work.job.units
+                weight += work.job.weight
                 tokens_left += work.job.max_tokens
                 pending_prefills += work.stage is Stage.PREFILL
             if work.stage is Stage.DECODE:
@@ -340,7 +340,7 @@
     def _own_pause_cost(self, costs: EngineCosts, job: Job, state: _EngineState) -> float:
         """Return the weight lost if the engine's passes exceed the pauses that the job allows."""
         longest = state.pass_ms + costs.pass_steps * costs.stream_step_ms
-        return job.units * (longest > job.pause_ms * PAUSE_BUDGET_SHARE)
+        return job.weight * (longest > job.pause_ms * PAUSE_BUDGET_SHARE)
 
     def _choose_group(
         self,
@@ -392,8 +392,8 @@
         part = read_ms(costs, job.tokens, len(group))
         disruption = sum(self._disruption_cost(state, part) for state in group)
         first_ms = max(self._first_token_ms(costs, state, part) + state.penalty for state in group)
-        late = job.units * _lateness_loss(first_ms, job.target_ms)
-        group_cost = HELPER_COST * job.units * (len(group) - 1)
+        late = job.weight * _lateness_loss(first_ms, job.target_ms)
+        group_cost = HELPER_COST * job.weight * (len(group) - 1)
         total = disruption + late + group_cost + first_ms / 10_000
         return total, Place(tuple(state.server for state in group), first_ms, held)
 
--- a/siskinspoke/coordination/prefixes.py
+++ b/siskinspoke/coordination/prefixes.py
@@ -36,7 +36,7 @@
         """Remove all blocks of a server, after a gap in its events or a restart."""
         self._blocks.pop(server, None)
 
-    def leading(self, server: str, blocks: list[int]) -> int:
+    def cached_prefix_blocks(self, server: str, blocks: list[int]) -> int:
         """Return the number of consecutive blocks at the start of a prompt that a server holds."""
         held = self._blocks.get(server)
         if not held:
--- a/siskinspoke/coordination/routing.py
+++ b/siskinspoke/coordination/routing.py
@@ -164,7 +164,10 @@
 
     def uncached_tokens(self, record: ServerRecord, work: Work) -> int:
         """Return the number of prompt tokens not known to be cached at the server."""
-        cached = self.prefixes.leading(record.announcement.server, work.blocks) * BLOCK_TOKENS
+        cached = (
+            self.prefixes.cached_prefix_blocks(record.announcement.server, work.blocks)
+            * BLOCK_TOKENS
+        )
         return max(1, work.prompt_tokens - cached)
 
     def _tokens_ahead(self, record: ServerRecord, rank: int, now: float) -> float:
--- a/tests/coordination/test_cells.py
+++ b/tests/coordination/test_cells.py
@@ -43,10 +43,10 @@
     def test_each_engine_is_watched_by_the_cells_that_use_it(self):
         cells = Cells(vms(195), engines(195))
         for server in engines(195):
-            watching = cells.watching([server.name])
-            assert watching
-            assert all(server.name in cells.servers(cell, "m") for cell in watching)
-            assert all(cell.domain == server.domain for cell in watching)
+            tracking = cells.watching([server.name])
+            assert tracking
+            assert all(server.name in cells.servers(cell, "m") for cell in tracking)
+            assert all(cell.domain == server.domain for cell in tracking)
 
     def test_a_rare_service_is_shared_by_the_cells_of_a_domain(self):
         """Five engines distributed over eight cells would leave some VMs without any."""
--- a/tests/coordination/test_moving.py
+++ b/tests/coordination/test_moving.py
@@ -46,12 +46,12 @@
     """The remaining prefill time of an engine, by the work table."""
 
     def test_includes_the_prefills_of_other_requests(self):
-        books = Books()
+        table = Books()
         job = Job(383_283, 900, 4_000.0, 1_000.0)
-        books.begin("long", Work(job, tuple(f"e{number}" for number in range(8)), 0.0))
-        books.begin("mine", Work(Job(5_000, 900, 300.0, PAUSE_MS), ("e3",), 0.0))
-        books.wrote("mine")
-        placement = Placement(books)
+        table.begin("long", Work(job, tuple(f"e{number}" for number in range(8)), 0.0))
+        table.begin("mine", Work(Job(5_000, 900, 300.0, PAUSE_MS), ("e3",), 0.0))
+        table.wrote("mine")
+        placement = Placement(table)
         initial_ms = placement.reading_ms(COSTS, "e3", 0.0)
         assert 1_500.0 < initial_ms < 2_500.0
         assert placement.reading_ms(COSTS, "e3", initial_ms / 2) == initial_ms / 2
--- a/tests/coordination/test_placement.py
+++ b/tests/coordination/test_placement.py
@@ -21,9 +21,9 @@
     return [Candidate(name) for name in names]
 
 
-def choose(books, job, names=ENGINES, seed=1):
+def choose(table, job, names=ENGINES, seed=1):
     """Return the place of a job."""
-    return Placement(books).choose(COSTS, job, offered(names), 0.0, random.Random(seed))
+    return Placement(table).choose(COSTS, job, offered(names), 0.0, random.Random(seed))
 
 
 class TestCosts:
@@ -46,38 +46,38 @@
     """Short prompts are packed onto engines with short streams unless that delays them too much."""
 
     def test_short_prompts_are_packed(self):
-        books = Books()
-        books.begin("w", Work(SHORT, ("e07",), -1_000.0))
-        books.wrote("w")
-        assert choose(books, SHORT).servers == ("e07",)
+        table = Books()
+        table.begin("w", Work(SHORT, ("e07",), -1_000.0))
+        table.wrote("w")
+        assert choose(table, SHORT).servers == ("e07",)
 
     def test_short_prompt_avoids_engine_that_prefills_a_long_prompt(self):
         """Behind the prefill of a long prompt, a short prompt would wait for seconds."""
-        books = Books()
+        table = Books()
         for name in ENGINES[:-1]:
-            books.begin(name, Work(LONG, (name,), 0.0))
-        assert choose(books, SHORT).servers == (ENGINES[-1],)
+            table.begin(name, Work(LONG, (name,), 0.0))
+        assert choose(table, SHORT).servers == (ENGINES[-1],)
 
     def test_full_engine_gets_no_more(self):
-        books = Books()
+        table = Books()
         for number in range(COSTS.slots):
-            books.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
-        assert choose(books, SHORT, ["e00", "e01"]).servers == ("e01",)
+            table.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
+        assert choose(table, SHORT, ["e00", "e01"]).servers == ("e01",)
         for number in range(COSTS.slots // 2):
-            books.begin(f"q{number}", Work(SHORT, ("e00",), -1_000.0))
-        assert choose(books, SHORT, ["e00"]) is None
+            table.begin(f"q{number}", Work(SHORT, ("e00",), -1_000.0))
+        assert choose(table, SHORT, ["e00"]) is None
 
     def test_full_engine_is_preferred_to_one_with_a_long_prefill(self):
         """In a burst, only engines that prefill a long prompt may have free slots.
 
         A short prompt placed there waited 1.5 s, while a slot elsewhere is freed within 0.3 s.
         """
-        books = Books()
+        table = Books()
         for number in range(COSTS.slots):
-            books.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
-            books.wrote(f"w{number}")
-        books.begin("l", Work(LONG, ("e01",), 0.0))
-        place = choose(books, SHORT, ["e00", "e01"])
+            table.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
+            table.wrote(f"w{number}")
+        table.begin("l", Work(LONG, ("e01",), 0.0))
+        place = choose(table, SHORT, ["e00", "e01"])
         assert place.servers == ("e00",)
         assert place.first_token_ms < 600
 
@@ -92,17 +92,17 @@
 
     def test_long_prompt_avoids_short_streams(self):
         """A long prefill would pause short streams on the same engine for too long."""
-        books = Books()
+        table = Books()
         for number, name in enumerate(ENGINES[:10]):
-            books.begin(f"w{number}", Work(SHORT, (name,), -1_000.0))
-            books.wrote(f"w{number}")
-        assert set(choose(books, LONG).servers) <= set(ENGINES[10:])
+            table.begin(f"w{number}", Work(SHORT, (name,), -1_000.0))
+            table.wrote(f"w{number}")
+        assert set(choose(table, LONG).servers) <= set(ENGINES[10:])
 
     def test_decoding_engine_has_memory_for_the_whole_prompt(self):
-        books = Books()
+        table = Books()
         for number, name in enumerate(ENGINES[:-1]):
-            books.begin(f"w{number}", Work(Job(250_000, 0, 3_000, 1_000), (name,), 0.0))
-        assert choose(books, LONG).servers[0] == ENGINES[-1]
+            table.begin(f"w{number}", Work(Job(250_000, 0, 3_000, 1_000), (name,), 0.0))
+        assert choose(table, LONG).servers[0] == ENGINES[-1]
 
 
 class TestHugePrompts:
@@ -117,35 +117,35 @@
         assert len(place.held) == len(place.servers) - 1
 
     def test_no_place_without_free_memory(self):
-        books = Books()
+        table = Books()
         for name in ENGINES:
-            books.begin(name, Work(Job(300_000, 0, 3_000, 1_000), (name,), 0.0))
-        assert choose(books, HUGE) is None
+            table.begin(name, Work(Job(300_000, 0, 3_000, 1_000), (name,), 0.0))
+        assert choose(table, HUGE) is None
 
 
 class TestBooks:
     """Work is removed again, at its end or after a timeout."""
 
     def test_prefill_only_engine_is_released_after_the_first_token(self):
-        books = Books()
-        books.begin("w", Work(LONG, ("e00", "e01"), 0.0))
-        books.wrote("w")
-        assert not books.engine("e01").works
-        assert books.engine("e00").works
+        table = Books()
+        table.begin("w", Work(LONG, ("e00", "e01"), 0.0))
+        table.wrote("w")
+        assert not table.engine("e01").works
+        assert table.engine("e00").works
 
     def test_engine_that_keeps_a_part_is_not_released(self):
-        books = Books()
-        books.begin("w", Work(HUGE, ("e00", "e01", "e02"), 0.0, held=(300_000, 0)))
-        books.wrote("w")
-        assert books.engine("e01").works
-        assert not books.engine("e02").works
+        table = Books()
+        table.begin("w", Work(HUGE, ("e00", "e01", "e02"), 0.0, held=(300_000, 0)))
+        table.wrote("w")
+        assert table.engine("e01").works
+        assert not table.engine("e02").works
 
     def test_work_without_an_end_expires(self):
         """Work of a VM that died must not stay in the tables of the others for ever."""
-        books = Books()
-        books.begin("w", Work(LONG, ("e00", "e01"), 0.0))
-        books.forget(60_000.0, [])
-        assert books.open_works == 0
+        table = Books()
+        table.begin("w", Work(LONG, ("e00", "e01"), 0.0))
+        table.forget(60_000.0, [])
+        assert table.open_works == 0
 
 
 class TestBurst:
@@ -157,8 +157,8 @@
 
     def test_long_prompts_rarely_disrupt_short_streams(self):
         rng = random.Random(5)
-        books = Books()
-        placement = Placement(books)
+        table = Books()
+        placement = Placement(table)
         engines = offered([f"e{number}" for number in range(23)])
         events = [(rng.uniform(0, 8_000), SHORT) for _ in range(480)]
         events += [(rng.uniform(0, 8_000), LONG) for _ in range(16)]
@@ -166,17 +166,17 @@
         for number, (at, job) in enumerate(sorted(events, key=lambda item: item[0])):
             while ends and ends[0][0] <= at:
                 _, kind, name = ends.pop(0)
-                books.wrote(name) if kind == "wrote" else books.end(name)
+                table.wrote(name) if kind == "wrote" else table.end(name)
             place = placement.choose(COSTS, job, engines, at, rng)
             if job is LONG:
                 parts += len(place.servers)
                 extra = read_ms(COSTS, job.tokens, len(place.servers))
                 disrupted += sum(
-                    any(work.job is SHORT for work in books.engine(name).works.values())
+                    any(work.job is SHORT for work in table.engine(name).works.values())
                     and extra > 0.8 * SHORT.pause_ms
                     for name in place.servers
                 )
-            books.begin(str(number), Work(job, place.servers, at))
+            table.begin(str(number), Work(job, place.servers, at))
             ends.append((at + place.first_token_ms, "wrote", str(number)))
             ends.append((at + place.first_token_ms + 1_700, "end", str(number)))
             ends.sort()
@@ -185,11 +185,10 @@
 
 
 class TestHerd:
-    """Replay of 130 short prompts a second on 78 engines of 6 slots, with work tables late
-    by 2 to 30 ms.
+    """Replay of 130 short prompts a second on 78 engines of 6 slots, with delayed work tables.
 
-    Entry VMs learn of each other's work with a delay.  If all of them choose the best engine of the
-    same table, it is overloaded: prompts reach a full engine and wait 0.3 to 0.9 s for a slot.
+    Entry VMs learn of each other's work 2 to 30 ms late.  If all of them choose the best engine of
+    the same table, it is overloaded: prompts reach a full engine and wait 0.3 to 0.9 s for a slot.
     """
 
     COSTS = COSTS._replace(slots=6, memory_tokens=267_750)
@@ -197,35 +196,35 @@
     def full_engine_share(self, lag_ms: float, seed: int) -> float:
         """Return the share of prompts that reach an engine without a free slot."""
         rng = random.Random(seed)
-        books = Books()
-        placement = Placement(books)
+        table = Books()
+        placement = Placement(table)
         engines = offered([f"e{number}" for number in range(78)])
-        taken = {item.server: 0 for item in engines}
-        news, to_full, count = [], 0, 0
+        slots_used = {item.server: 0 for item in engines}
+        events, to_full, count = [], 0, 0
         at = 0.0
         while at < 6_000:
             at += rng.expovariate(130 / 1_000)
-            while news and news[0][0] <= at:
-                _, kind, name, detail = news.pop(0)
+            while events and events[0][0] <= at:
+                _, kind, name, detail = events.pop(0)
                 if kind == "free":
-                    taken[detail] -= 1
+                    slots_used[detail] -= 1
                 elif kind == "began":
-                    books.begin(name, detail)
+                    table.begin(name, detail)
                 elif kind == "wrote":
-                    books.wrote(name)
+                    table.wrote(name)
                 else:
-                    books.end(name)
+                    table.end(name)
             place = placement.choose(self.COSTS, SHORT, engines, at, rng)
             name, server = str(count), place.servers[0]
-            to_full += taken[server] >= self.COSTS.slots
-            taken[server] += 1
+            to_full += slots_used[server] >= self.COSTS.slots
+            slots_used[server] += 1
             count += 1
             end = at + rng.uniform(600, 3_000)
-            news.append((at + lag_ms, "began", name, Work(SHORT, place.servers, at)))
-            news.append((at + 110 + lag_ms, "wrote", name, None))
-            news.append((end, "free", name, server))
-            news.append((end + lag_ms, "ended", name, None))
-            news.sort(key=lambda item: item[0])
+            events.append((at + lag_ms, "began", name, Work(SHORT, place.servers, at)))
+            events.append((at + 110 + lag_ms, "wrote", name, None))
+            events.append((end, "free", name, server))
+            events.append((end + lag_ms, "ended", name, None))
+            events.sort(key=lambda item: item[0])
         return to_full / count
 
     @pytest.mark.parametrize(("lag_ms", "max_share"), [(2.0, 0.005), (10.0, 0.03), (30.0, 0.08)])
