--- a/siskinspoke/coordination/fullness.py
+++ b/siskinspoke/coordination/fullness.py
@@ -10,12 +10,12 @@
 class Look(NamedTuple):
     """Where room is searched for.  Requests that wait at the same engine exclude the same one.
 
-    ``left_out`` is part of the key because a request whose own engine is the only one with room
+    ``excluded`` is part of the key because a request whose own engine is the only one with room
     finds none, while requests at other engines can use it.
     """
 
     service: str
-    left_out: frozenset[str]
+    excluded: frozenset[str]
     near_only: bool
 
 
@@ -28,14 +28,16 @@
     """Remember failed searches for a short time; times are in milliseconds."""
 
     def __init__(self) -> None:
-        self._found: dict[Look, _NoRoom] = {}
+        self._failed_searches: dict[Look, _NoRoom] = {}
 
-    def note(self, look: Look, tokens: int, now: float) -> None:
+    def note(self, search: Look, tokens: int, now: float) -> None:
         """Record that there was no room for a prompt of this many tokens."""
-        self._found = {key: item for key, item in self._found.items() if now - item.at < FULL_MS}
-        self._found[look] = _NoRoom(tokens, now)
+        self._failed_searches = {
+            key: item for key, item in self._failed_searches.items() if now - item.at < FULL_MS
+        }
+        self._failed_searches[search] = _NoRoom(tokens, now)
 
-    def is_full(self, look: Look, tokens: int, now: float) -> bool:
+    def is_full(self, search: Look, tokens: int, now: float) -> bool:
         """Return whether the same search recently failed for a prompt of at most this length."""
-        found = self._found.get(look)
+        found = self._failed_searches.get(search)
         return found is not None and tokens >= found.tokens and now - found.at < FULL_MS
--- a/siskinspoke/coordination/placement.py
+++ b/siskinspoke/coordination/placement.py
@@ -200,19 +200,19 @@
         rng: random.Random,
     ) -> tuple[Place | None, list[_EngineState]]:
         """Return the place, and the states of the engines that were considered."""
-        need = job.tokens + job.max_tokens
+        required_tokens = job.tokens + job.max_tokens
         shuffled = rng.sample(candidates, len(candidates))
         herd_avoidance = _herd_avoidance(len(candidates))
         if job.short:
             sampled = self._available_states(costs, shuffled[: _sample_size(len(shuffled))], now)
-            with_memory = [state for state in sampled if state.free_tokens >= need]
+            with_memory = [state for state in sampled if state.free_tokens >= required_tokens]
             if any(state.streams < costs.slots for state in with_memory):
                 place = self._choose_engine(costs, job, with_memory, herd_avoidance, rng)
                 # If even the best engine of the sample would be late, consider the whole fleet.
                 if place.first_token_ms <= job.target_ms:
                     return place, sampled
         states = self._available_states(costs, shuffled, now)
-        with_memory = [state for state in states if state.free_tokens >= need]
+        with_memory = [state for state in states if state.free_tokens >= required_tokens]
         if not with_memory:
             return self._choose_memory_group(costs, job, states), states
         if job.short:
--- a/siskinspoke/coordination/routing.py
+++ b/siskinspoke/coordination/routing.py
@@ -219,7 +219,7 @@
         best = min(estimate for estimate, _ in estimates)
         excess = best + self._decode_ms(work) - work.remaining_ms
         if excess > 0:
-            idle_ms = min(self._idle_ms(record, work) for record in usable)
+            idle_ms = min(self._idle_first_token_ms(record, work) for record in usable)
             return Error(self._deadline_failure(excess, idle_ms + self._decode_ms(work), work, rng))
         near = [pair for pair in estimates if pair[0] <= best * 1.1 + ESTIMATE_TOLERANCE_MS]
         sampled = rng.sample(near, min(SAMPLED_SERVERS, len(near)))
@@ -274,7 +274,7 @@
         wait_ms = min((self.back_offs.until(record.start) - now for record in known), default=0.0)
         return Failure(ResultCode.NO_SERVER, message, self.retry_after(wait_ms, rng))
 
-    def _idle_ms(self, record: ServerRecord, work: Work) -> float:
+    def _idle_first_token_ms(self, record: ServerRecord, work: Work) -> float:
         """Return the time to first token at an idle server."""
         rate = max(MIN_PREFILL_RATE, record.announcement.prefill_rate)
         return self.uncached_tokens(record, work) / rate * 1000
--- a/tests/coordination/test_foresight.py
+++ b/tests/coordination/test_foresight.py
@@ -19,22 +19,22 @@
 
     @pytest.mark.parametrize("spread", [20.0, 40.0])
     def test_converges_to_the_quantile(self, spread):
-        rng, foresight = random.Random(1), Foresight()
+        rng, margin = random.Random(1), Foresight()
         margins = []
         for _ in range(400):
-            foresight.came(100.0, 100.0 + rng.uniform(-spread, spread))
-            margins.append(foresight.margin_ms)
+            margin.came(100.0, 100.0 + rng.uniform(-spread, spread))
+            margins.append(margin.margin_ms)
         within = (mean(margins[100:]) + spread) / (2 * spread)
         assert within == pytest.approx(QUANTILE, abs=0.12)
 
     def test_follows_a_burst_of_late_first_tokens(self):
-        foresight = Foresight()
+        margin = Foresight()
         for _ in range(20):
-            foresight.came(100.0, 300.0)
-        assert foresight.margin_ms == MAX_MARGIN_MS
+            margin.came(100.0, 300.0)
+        assert margin.margin_ms == MAX_MARGIN_MS
 
     def test_stays_within_bounds(self):
-        foresight = Foresight()
+        margin = Foresight()
         for _ in range(1_000):
-            foresight.came(100.0, 20.0)
-        assert foresight.margin_ms == MIN_MARGIN_MS < INITIAL_MARGIN_MS
+            margin.came(100.0, 20.0)
+        assert margin.margin_ms == MIN_MARGIN_MS < INITIAL_MARGIN_MS
--- a/tests/coordination/test_left_out.py
+++ b/tests/coordination/test_left_out.py
@@ -12,14 +12,14 @@
         directory = Directory(3_000)
         said = announcement(1, 1, "sala-a")
         directory.hear(said, 0.0)
-        left_out = LeftOut()
-        left_out.fail((said.server, said.incarnation))
-        assert left_out.names(directory, 1e9) == {said.server}
+        excluded = LeftOut()
+        excluded.fail((said.server, said.incarnation))
+        assert excluded.names(directory, 1e9) == {said.server}
         directory.hear(said._replace(incarnation=said.incarnation + 1), 1.0)
-        assert left_out.names(directory, 2.0) == set()
+        assert excluded.names(directory, 2.0) == set()
 
     def test_temporary_exclusion_ends(self):
-        left_out = LeftOut()
-        left_out.put_off("one", 10.0)
-        assert left_out.names(Directory(3_000), 9.0 + TEMPORARY_EXCLUSION_MS) == {"one"}
-        assert left_out.names(Directory(3_000), 10.0 + TEMPORARY_EXCLUSION_MS) == set()
+        excluded = LeftOut()
+        excluded.put_off("one", 10.0)
+        assert excluded.names(Directory(3_000), 9.0 + TEMPORARY_EXCLUSION_MS) == {"one"}
+        assert excluded.names(Directory(3_000), 10.0 + TEMPORARY_EXCLUSION_MS) == set()
