--- a/siskinspoke/coordination/placement.py
+++ b/siskinspoke/coordination/placement.py
@@ -133,7 +133,8 @@
         queue_ms = 0.0
         if streams >= costs.slots:
             passes = tokens_left / streams / costs.pass_steps
-            # At least one step per pass: streams still in prefill decode before a slot is free.
+            # Streams that are all still in prefill will decode before a slot is free, so a pass
+            # takes at least the time of its steps.
             decode_pass = max(decode_pass_ms, costs.pass_steps * costs.step_ms * engine.pace)
             queue_ms = (streams - costs.slots + 1) * passes * decode_pass / costs.slots
         return _EngineState(
