--- a/siskinspoke/coordination/back_off.py
+++ b/siskinspoke/coordination/back_off.py
@@ -1,17 +1,17 @@
-"""Until when backend servers want no requests of this VM, by their own word.
+"""Back-off periods that backend servers have requested from this VM.
 
-It concerns one start of a server, and this VM alone.  Times are in milliseconds.
+A back-off applies to one incarnation of a server and to this VM only. Times are in milliseconds.
 """
 
 import math
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from siskinspoke.coordination.rate_limits import FORMER_MS, Start
+from siskinspoke.coordination.rate_limits import RESTART_OVERLAP_MS, Start
 
-# A server that asks for more than this is asked again after it, so that no value keeps one out
-# for good.
-MOST_MS = 3_600_000.0
+# A longer request is cut to this, after which the server is tried again, so that no value excludes
+# it permanently.
+MAX_BACK_OFF_MS = 3_600_000.0
 
 
 class _BackOff(NamedTuple):
@@ -20,33 +20,33 @@
 
 
 class BackOffs:
-    """Keep the back-offs in force by the server's start."""
+    """The back-offs in force, keyed by server and incarnation."""
 
     def __init__(self) -> None:
-        self._asked: dict[Start, _BackOff] = {}
+        self._back_offs: dict[Start, _BackOff] = {}
 
     def ask(self, start: Start, wait_ms: float, now: float) -> None:
-        """Take in that a server wants nothing for a time; an earlier word that is longer stands."""
-        until = max(self.until(start), now + min(wait_ms, MOST_MS))
-        self._asked[start] = _BackOff(until, now)
+        """Record that a server requested a back-off; a longer one already in force is kept."""
+        until = max(self.until(start), now + min(wait_ms, MAX_BACK_OFF_MS))
+        self._back_offs[start] = _BackOff(until, now)
 
     def until(self, start: Start) -> float:
-        """Return until when a server wants nothing; the past where it does not say."""
-        found = self._asked.get(start)
-        return -math.inf if found is None else found.until
+        """Return the end of a server's back-off, or minus infinity if it has requested none."""
+        back_off = self._back_offs.get(start)
+        return -math.inf if back_off is None else back_off.until
 
-    def started(self, former: Start, start: Start, now: float) -> None:
-        """Take in that a server has started anew; the last words of before may be the new one's."""
-        found = self._asked.get(former)
-        if found is not None and now - found.asked_at < FORMER_MS:
-            self._asked[start] = found
+    def started(self, previous: Start, start: Start, now: float) -> None:
+        """Record a restart; a recent back-off may have come from the new process, so copy it."""
+        back_off = self._back_offs.get(previous)
+        if back_off is not None and now - back_off.asked_at < RESTART_OVERLAP_MS:
+            self._back_offs[start] = back_off
 
     def forget(self, servers: Iterable[str], now: float) -> None:
-        """Keep what is in force, of these servers only."""
+        """Drop expired back-offs and those of servers not in ``servers``."""
         kept = set(servers)
-        for start, found in list(self._asked.items()):
-            if start[0] not in kept or found.until <= now:
-                del self._asked[start]
+        for start, back_off in list(self._back_offs.items()):
+            if start[0] not in kept or back_off.until <= now:
+                del self._back_offs[start]
 
     def __len__(self) -> int:
-        return len(self._asked)
+        return len(self._back_offs)
--- a/siskinspoke/coordination/rate_limits.py
+++ b/siskinspoke/coordination/rate_limits.py
@@ -1,7 +1,7 @@
-"""The rate limits that backend servers have named, as one entry VM has heard of them.
+"""The rate limits that backend servers have announced to one entry VM.
 
-A limit concerns one start of a server, and holds for as long as the server says so: an answer
-without one ends it.  Times are in milliseconds.
+A limit applies to one incarnation of a server, and until the server answers without one. Times are
+in milliseconds.
 """
 
 import math
@@ -10,14 +10,14 @@
 
 Start = tuple[str, int]
 
-# A server that starts anew under its name answers before its announcement is heard, so what was
-# heard within this time of that may be a word of the new process.
-FORMER_MS = 3_000.0
+# A restarted server answers under its old name before its announcement is received, so a limit or
+# back-off received within this time before may come from the new process.
+RESTART_OVERLAP_MS = 3_000.0
 
 
 @dataclass(slots=True)
 class RateLimit:
-    """Requests a second that a server takes from all VMs together, and when it last said so."""
+    """The requests per second that a server takes from all VMs, and when it last said so."""
 
     rate: float
     since: float
@@ -25,7 +25,7 @@
 
 
 class RateLimits:
-    """Keep the limits in force by the server's start."""
+    """The limits in force, keyed by server and incarnation."""
 
     def __init__(self) -> None:
         self._limits: dict[Start, RateLimit] = {}
@@ -33,11 +33,11 @@
         self._closed_until: dict[Start, float] = {}
 
     def find(self, start: Start) -> RateLimit | None:
-        """Return the limit of a server, None where it has named none."""
+        """Return the limit of a server, or None if it has none."""
         return self._limits.get(start)
 
     def name(self, start: Start, rate: float, now: float) -> bool:
-        """Take in that a server names a limit; return whether that is news."""
+        """Record a server's limit; return whether it is new or changed."""
         known = self._limits.get(start)
         if now < max(self._lifted_at.get(start, now), known.heard_at if known else now):
             return False
@@ -47,9 +47,10 @@
         return is_news
 
     def lift(self, start: Start, sent_at: float, now: float) -> bool:
-        """Take in that a request of a time was answered without a limit; return whether it is news.
+        """Remove a limit if a request sent at ``sent_at`` was answered without one.
 
-        An answer to a request that was sent before the limit was heard of may be older than that.
+        Return whether a limit was removed. The answer to a request sent before the limit was
+        received may be older than the limit, so it is ignored.
         """
         known = self._limits.get(start)
         if known is None or sent_at < known.heard_at:
@@ -59,22 +60,22 @@
         self._lifted_at[start] = now
         return True
 
-    def started(self, former: Start, start: Start, now: float) -> None:
-        """Take in that a server has started anew; the last words of before may be the new one's."""
-        known = self._limits.get(former)
-        if known is not None and now - known.heard_at < FORMER_MS:
+    def started(self, previous: Start, start: Start, now: float) -> None:
+        """Record a restart; a recent limit may have come from the new process, so copy it."""
+        known = self._limits.get(previous)
+        if known is not None and now - known.heard_at < RESTART_OVERLAP_MS:
             self.name(start, known.rate, known.heard_at)
 
     def close(self, start: Start, until: float) -> None:
-        """Note that no request may be sent to a server for a while."""
+        """Block requests to a server until a time."""
         self._closed_until[start] = until
 
     def closed_until(self, start: Start) -> float:
-        """Return until when no request may be sent to a server; the past where one may be."""
+        """Return until when requests to a server are blocked, minus infinity if they are not."""
         return self._closed_until.get(start, -math.inf)
 
     def forget(self, servers: Iterable[str]) -> None:
-        """Keep the limits of these servers only."""
+        """Drop the limits of servers not in ``servers``."""
         kept = set(servers)
         for records in (self._limits, self._lifted_at, self._closed_until):
             for start in [start for start in records if start[0] not in kept]:
--- a/tests/coordination/test_back_off.py
+++ b/tests/coordination/test_back_off.py
@@ -1,13 +1,13 @@
-"""Back-offs that servers ask for."""
+"""Tests of the back-offs that servers request."""
 
-from siskinspoke.coordination.back_off import MOST_MS, BackOffs
-from siskinspoke.coordination.rate_limits import FORMER_MS
+from siskinspoke.coordination.back_off import MAX_BACK_OFF_MS, BackOffs
+from siskinspoke.coordination.rate_limits import RESTART_OVERLAP_MS
 
 START = ("i-1", 7)
 
 
 class TestBackOffs:
-    """Until when a server wants nothing of this VM."""
+    """Until when a server wants no requests of this VM."""
 
     def test_until_its_end(self):
         back_offs = BackOffs()
@@ -15,8 +15,8 @@
         back_offs.ask(START, 3_000, 100)
         assert back_offs.until(START) == 3_100
 
-    def test_longer_word_stands(self):
-        """A second answer asked for less, and the first promise was broken."""
+    def test_longer_back_off_is_kept(self):
+        """A second answer with a shorter back-off must not shorten the first."""
         back_offs = BackOffs()
         back_offs.ask(START, 3_000, 100)
         back_offs.ask(START, 500, 200)
@@ -24,27 +24,27 @@
         back_offs.ask(START, 3_000, 1_000)
         assert back_offs.until(START) == 4_000
 
-    def test_concerns_one_start(self):
+    def test_applies_to_one_incarnation(self):
         back_offs = BackOffs()
         back_offs.ask(START, 3_000, 100)
         assert back_offs.until(("i-1", 8)) < 0
 
-    def test_word_of_a_new_process_before_its_announcement(self):
-        """A server started anew and asked for a back-off; its announcement then undid that."""
+    def test_back_off_of_new_process_before_its_announcement(self):
+        """A restarted server's announcement must not undo a back-off it has already requested."""
         back_offs = BackOffs()
         back_offs.ask(START, 3_000, 100)
         back_offs.started(START, ("i-1", 8), 900)
         assert back_offs.until(("i-1", 8)) == 3_100
         back_offs.ask(START, 9_000, 1_000)
-        back_offs.started(START, ("i-1", 9), 1_000 + FORMER_MS)
+        back_offs.started(START, ("i-1", 9), 1_000 + RESTART_OVERLAP_MS)
         assert back_offs.until(("i-1", 9)) < 0
 
-    def test_no_value_keeps_a_server_out_for_good(self):
+    def test_no_value_excludes_a_server_permanently(self):
         back_offs = BackOffs()
         back_offs.ask(START, 1e15, 100)
-        assert back_offs.until(START) == 100 + MOST_MS
+        assert back_offs.until(START) == 100 + MAX_BACK_OFF_MS
 
-    def test_forgotten_at_its_end_and_with_its_server(self):
+    def test_dropped_on_expiry_and_with_its_server(self):
         back_offs = BackOffs()
         back_offs.ask(START, 3_000, 100)
         back_offs.ask(("i-2", 1), 9_000, 100)
--- a/tests/coordination/test_rate_limits.py
+++ b/tests/coordination/test_rate_limits.py
@@ -1,6 +1,6 @@
-"""Rate limits that servers name."""
+"""Tests of the rate limits that servers announce."""
 
-from siskinspoke.coordination.rate_limits import FORMER_MS, RateLimits
+from siskinspoke.coordination.rate_limits import RESTART_OVERLAP_MS, RateLimits
 
 START = ("i-1", 7)
 
@@ -8,7 +8,7 @@
 class TestRateLimits:
     """What one VM knows of servers' limits."""
 
-    def test_limit_is_news_once(self):
+    def test_limit_is_new_once(self):
         limits = RateLimits()
         assert limits.name(START, 2.0, 100)
         assert not limits.name(START, 2.0, 200)
@@ -16,7 +16,7 @@
         assert limits.find(START).rate == 1.0
         assert limits.find(START).since == 100
 
-    def test_answer_without_a_limit_ends_it(self):
+    def test_answer_without_a_limit_removes_it(self):
         limits = RateLimits()
         assert not limits.lift(START, 40, 50)
         limits.name(START, 2.0, 100)
@@ -26,7 +26,7 @@
         assert limits.find(START) is None
 
     def test_older_answers_change_nothing(self):
-        """Answers on two connections overtake each other; the older one must not undo the newer."""
+        """Answers on two connections may arrive out of order; the older must not undo the newer."""
         limits = RateLimits()
         limits.name(START, 2.0, 100)
         assert not limits.lift(START, 90, 120)
@@ -34,21 +34,21 @@
         assert not limits.name(START, 2.0, 107)
         assert limits.find(START) is None
 
-    def test_limit_concerns_one_start(self):
+    def test_limit_applies_to_one_incarnation(self):
         limits = RateLimits()
         limits.name(START, 2.0, 100)
         assert limits.find(("i-1", 8)) is None
 
-    def test_word_of_a_new_process_before_its_announcement(self):
-        """A server started anew and named a limit; its announcement then undid that."""
+    def test_limit_of_new_process_before_its_announcement(self):
+        """A restarted server's announcement must not undo a limit it has already announced."""
         limits = RateLimits()
         limits.name(START, 2.0, 100)
         limits.started(START, ("i-1", 8), 900)
         assert limits.find(("i-1", 8)).rate == 2.0
-        limits.started(("i-1", 8), ("i-1", 9), 100 + FORMER_MS)
+        limits.started(("i-1", 8), ("i-1", 9), 100 + RESTART_OVERLAP_MS)
         assert limits.find(("i-1", 9)) is None
 
-    def test_forgotten_with_its_server(self):
+    def test_dropped_with_its_server(self):
         limits = RateLimits()
         limits.name(START, 2.0, 100)
         limits.forget(["i-2"])
