--- a/siskinspoke/coordination/crashes.py
+++ b/siskinspoke/coordination/crashes.py
@@ -1,17 +1,17 @@
-"""Find the request that crashes each server which begins to run it, and nobody else.
+"""Detects requests that crash the servers that run them, without blaming other requests.
 
-Such a request is known as a query of death.  Its caller repeats it, at any VM, and each attempt
-ends one more server with all that runs there.  A server that crashes holds several requests, and
-those of its neighbours that are moved meet the same one again, so a count of crashes alone would
-turn sound callers away.  The ledger weighs three things instead:
+Such a request is known as a query of death. Its caller retries it, at any VM, and each attempt ends
+one more server and every request running there. A crashing server holds several requests, and those
+moved to another server may meet the same query of death again, so a plain count of crashes would
+reject innocent callers. The ledger considers three things instead:
 
-* A request that was ever answered whole is harmless, and no explanation of a crash.
-* A crash speaks against a request only as far as nobody else explains it.
-* Servers crash for other reasons as well; a crash is weighed by how unlikely it was to hit so
-  short a run by accident.
+* A request that was ever answered completely is harmless and does not explain a crash.
+* A crash is evidence against a request only as far as no other request explains it.
+* Servers also crash for other reasons; a crash is weighted by how unlikely it was to hit a run of
+  that length by chance.
 
-The ledger is the same wherever the same crashes are known, in whatever order they came to be known.
-Times are in milliseconds of one VM's clock.
+VMs that know of the same crashes reach the same verdicts, in whatever order the crashes were
+reported. Times are in milliseconds of one VM's clock.
 """
 
 import bisect
@@ -24,44 +24,47 @@
 from siskinspoke.coordination.fingerprints import shape_of
 from siskinspoke.core.codes import Failure, ResultCode
 
-# The chance p that an accident would hit a run weighs log(K * p ** (K - 1)).  Under accidents alone
-# that is worth nothing on average, so a request that meets many of them gathers no weight, and the
-# chance that it ever comes to a weight w is at most exp(-w).
-CALIBRATION = 0.3
-# What one crash can weigh at most, about that of a chance of 1 in 400.
-MOST_WEIGHT = 3.0
-# A request is quarantined from this weight on, which three crashes have that nothing else explains.
-QUARANTINED_FROM = 8.0
-# Another one who was open at a crash, and was not answered since, may be the cause in place of a
-# suspect; where it was at no other crash that weighs as much as this at most.  Hardly is it another
-# one each time, so a suspect that is never seen alone is found after some seven crashes.
-DOUBT_WEIGHT = MOST_WEIGHT / 2
-# Reports of the same crash come from several VMs, some by way of a control VM, and so do whole
-# answers; a request waits so long for them before it is quarantined.
+# A crash that hits a run by chance with probability p has the weight log(K * p ** (K - 1)), a
+# p-to-e calibrator. Under chance alone its exponential has the mean 1, so a request that meets many
+# unrelated crashes gathers no weight: the probability that it ever reaches weight w is at most
+# exp(-w).
+CALIBRATOR_KAPPA = 0.3
+# Maximum weight of one crash, about that of a probability of 1 in 400.
+MAX_CRASH_WEIGHT = 3.0
+# Weight at which a request is quarantined; three crashes without another explanation reach it.
+QUARANTINE_WEIGHT = 8.0
+# Another request that was open at a crash, and not answered since, may be the cause instead; if it
+# was open at no other crash, this is the most the crash can weigh. It is unlikely to be a different
+# request each time, so a suspect that is never alone is found after about seven crashes.
+ALTERNATIVE_CAUSE_WEIGHT = MAX_CRASH_WEIGHT / 2
+# Reports of a crash, and complete answers, arrive from several VMs, some through a control VM. A
+# request waits this long for them before it is quarantined.
 SETTLE_MS = 500.0
-# A wait that is rounded to nothing would be waited for again and again.
-LEAST_WAIT_MS = 1.0
-# Afterwards one attempt in this time is let through, to see whether the server's fault is mended.
+# Prevents a busy loop when the remaining wait rounds to zero.
+MIN_WAIT_MS = 1.0
+# After this time one attempt per PROBE_TIMEOUT_MS is let through, in case the server has been
+# fixed.
 QUARANTINE_MS = 600_000.0
-# How long such an attempt has for its answer before another one is let through.
-PROBE_MS = 20_000.0
-# Crashes of this time before one tell how often servers of its service crash anyway, and those of
-# a shorter time around it whether many of them do just now.
-RATE_MS = 10_000.0
-STORM_MS = 1_000.0
-# A request with so many crashes that was never answered is their likely cause, so that they do not
-# count as accidents against which others are weighed.
-LIKELY_FROM = 4
-# VMs see the end of one server some milliseconds apart.
-ORDER_SLACK_MS = 20.0
-# A crash is remembered for an hour, and of a storm of them these many; a request of which no crash
-# is remembered any more begins anew.
-KEEP_MS = 3_600_000.0
+# Time such an attempt has to be answered before the next one is let through.
+PROBE_TIMEOUT_MS = 20_000.0
+# The crashes in this window before a crash give the usual crash rate of a service. A shorter window
+# on both sides detects a burst of crashes.
+CRASH_RATE_WINDOW_MS = 10_000.0
+CRASH_BURST_WINDOW_MS = 1_000.0
+# A request with this many crashes and no answer is their likely cause, so they do not count as
+# background crashes in the evidence against other requests.
+LIKELY_CAUSE_CRASHES = 4
+# VMs observe the end of the same server a few milliseconds apart.
+OBSERVATION_SKEW_MS = 20.0
+# Crashes are kept for one hour, and at most MOST_CRASHES of them. A request whose crashes have all
+# been dropped starts with no evidence against it.
+CRASH_RETENTION_MS = 3_600_000.0
 MOST_CRASHES = 1_024
-# Whole answers of suspects whose crash is not known yet.
-MOST_EARLY = 256
-# An engine holds its slots and a few that wait.  With more suspects than that nobody can tell.
-MOST_SUSPECTS = 32
+# Complete answers to suspects whose crash is not known yet.
+MAX_EARLY_ANSWERS = 256
+# An engine holds its slots plus a short queue. With more suspects than this the cause cannot be
+# identified.
+MAX_SUSPECTS = 32
 
 Start = tuple[str, int]
 
@@ -75,24 +78,24 @@
 
 @dataclass(slots=True, eq=False)
 class Crash:
-    """The end of one start of a server; ``servers`` is how many its service had."""
+    """The end of one incarnation of a server; ``servers`` is the number its service had."""
 
     start: Start
     service: str
     servers: int
     at: float
     suspects: dict[str, Suspect] = field(default_factory=dict)
-    crowded: bool = False
+    has_too_many_suspects: bool = False
 
 
 @dataclass(frozen=True)
 class Clear:
-    """Nothing speaks against the request."""
+    """There is no evidence against the request."""
 
 
 @dataclass(frozen=True)
 class Suspected:
-    """Servers crashed under the request, which may have had nothing to do with it."""
+    """Servers crashed while the request was open, but it may not be the cause."""
 
     crashes: int
     weight: float
@@ -100,33 +103,33 @@
 
 @dataclass(frozen=True)
 class Undecided:
-    """Enough speaks against the request, but what clears it may be on its way."""
+    """The evidence is sufficient, but a report that clears the request may be on its way."""
 
     wait_ms: float
 
     @property
     def wait_seconds(self) -> float:
-        """Return how long to wait before asking again."""
-        return max(LEAST_WAIT_MS, self.wait_ms) / 1000
+        """Return how long to wait before judging again."""
+        return max(MIN_WAIT_MS, self.wait_ms) / 1000
 
 
 @dataclass(frozen=True)
 class Quarantined:
-    """The request is not sent to any server for a while."""
+    """The request is not sent to any server for now."""
 
     left_ms: float
     crashes: int
 
     @property
     def refusal(self) -> Failure:
-        """Return the answer to a request that is not sent: not run, and when to come back."""
+        """Return the failure for a quarantined request: not run, with the time to retry."""
         message = f"{self.crashes} servers crashed under this request, so it is not sent"
         return Failure(ResultCode.QUARANTINED, message, int(self.left_ms))
 
 
 @dataclass(frozen=True)
 class Probation:
-    """The quarantine is over; one attempt may show whether the request still crashes servers."""
+    """The quarantine has ended; one attempt may show whether the request still crashes servers."""
 
     crashes: int
 
@@ -134,104 +137,108 @@
 Verdict = Clear | Suspected | Undecided | Quarantined | Probation
 
 
-def _time_of(crash: Crash) -> float:
+def _crash_time(crash: Crash) -> float:
     return crash.at
 
 
-class _Case(NamedTuple):
-    """What speaks against one request: since when enough, and the last crash."""
+class _Evidence(NamedTuple):
+    """The evidence against one request, when it became sufficient, and its last crash."""
 
     weight: float = 0.0
     crashes: int = 0
     decided_at: float = math.inf
-    last_at: float = -math.inf
+    last_crash_at: float = -math.inf
 
 
 class CrashLedger:
-    """Keep crashes with those who were open there, and what cleared some of them."""
+    """Keeps crashes with the requests open at each, and the answers that cleared suspects."""
 
     def __init__(self) -> None:
         self._crashes: dict[Start, Crash] = {}
-        self._of: dict[str, list[Crash]] = {}
-        self._shapes: dict[str, int] = {}
-        self._served: dict[str, float] = {}
-        self._early: dict[str, float] = {}
-        self._probed: dict[str, float] = {}
-        self._refuted: dict[Start, float] = {}
+        self._by_fingerprint: dict[str, list[Crash]] = {}
+        self._shape_counts: dict[str, int] = {}
+        self._answered_at: dict[str, float] = {}
+        self._early_answers: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
+        self._refuted_at: dict[Start, float] = {}
         self._by_service: dict[str, list[Crash]] = {}
-        self._cases: dict[str, _Case] = {}
+        self._cases: dict[str, _Evidence] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no request is suspected, so that none needs to be compared."""
-        return not self._shapes
+        """Return whether there are no suspects, so that no request needs to be compared."""
+        return not self._shape_counts
 
     @property
     def crashes(self) -> list[Crash]:
-        """Return the crashes that are remembered."""
+        """Return the crashes that are kept."""
         return list(self._crashes.values())
 
     @property
     def served(self) -> dict[str, float]:
-        """Return when suspects were last answered whole, by fingerprint."""
-        return self._served
+        """Return when suspects were last answered completely, by fingerprint."""
+        return self._answered_at
 
     @property
     def probed(self) -> dict[str, float]:
         """Return when suspects were last let through after a quarantine, by fingerprint."""
-        return self._probed
+        return self._probed_at
 
     def find(self, start: Start) -> Crash | None:
-        """Return the crash of one start of a server."""
+        """Return the crash of one incarnation of a server."""
         return self._crashes.get(start)
 
     def servers_of(self, fingerprint: str) -> list[str]:
-        """Return the servers that crashed with a request open since it was last answered whole."""
-        served_at = self._served.get(fingerprint, -math.inf)
-        return [item.start[0] for item in self._of.get(fingerprint, ()) if item.at > served_at]
+        """Return the servers that crashed with a request open since its last complete answer."""
+        served_at = self._answered_at.get(fingerprint, -math.inf)
+        return [
+            item.start[0]
+            for item in self._by_fingerprint.get(fingerprint, ())
+            if item.at > served_at
+        ]
 
     def has_shape(self, shape: str) -> bool:
-        """Tell whether some suspect has this shape; only then its body is worth reading."""
-        return shape in self._shapes
+        """Return whether a suspect has this shape; otherwise the body need not be hashed."""
+        return shape in self._shape_counts
 
     def knows(self, fingerprint: str) -> bool:
-        """Tell whether a server crashed with this request open."""
-        return fingerprint in self._of
+        """Return whether a server crashed with this request open."""
+        return fingerprint in self._by_fingerprint
 
     def add(
         self, start: Start, service: str, servers: int, at: float, suspects: Iterable[Suspect]
     ) -> list[Suspect] | None:
-        """Take in a crash, or more of who was open at one that is known.
+        """Record a crash, or further requests that were open at a known one.
 
-        Return the suspects that are news, None where nothing is.
+        Return the suspects that are new, or None if nothing is new.
         """
-        if start in self._refuted:
+        if start in self._refuted_at:
             return None
         crash = self._crashes.get(start)
         is_news = crash is None
         if crash is None:
             crash = self._crashes[start] = Crash(start, service, servers, at)
-            bisect.insort(self._by_service.setdefault(service, []), crash, key=_time_of)
+            bisect.insort(self._by_service.setdefault(service, []), crash, key=_crash_time)
             self._drop_oldest()
         self._cases.clear()
-        fresh = [item for item in suspects if self._suspect(crash, item)]
-        return fresh if fresh or is_news else None
+        new_suspects = [item for item in suspects if self._add_suspect(crash, item)]
+        return new_suspects if new_suspects or is_news else None
 
-    def _suspect(self, crash: Crash, suspect: Suspect) -> bool:
+    def _add_suspect(self, crash: Crash, suspect: Suspect) -> bool:
         fingerprint = suspect.fingerprint
         if fingerprint in crash.suspects:
             return False
-        if len(crash.suspects) >= MOST_SUSPECTS:
-            crash.crowded = True
+        if len(crash.suspects) >= MAX_SUSPECTS:
+            crash.has_too_many_suspects = True
             return False
         crash.suspects[fingerprint] = suspect
-        known = self._of.setdefault(fingerprint, [])
-        if not known:
+        crashes = self._by_fingerprint.setdefault(fingerprint, [])
+        if not crashes:
             shape = shape_of(fingerprint)
-            self._shapes[shape] = self._shapes.get(shape, 0) + 1
-            if fingerprint in self._early:
-                self._served[fingerprint] = self._early.pop(fingerprint)
-        bisect.insort(known, crash, key=_time_of)
+            self._shape_counts[shape] = self._shape_counts.get(shape, 0) + 1
+            if fingerprint in self._early_answers:
+                self._answered_at[fingerprint] = self._early_answers.pop(fingerprint)
+        bisect.insort(crashes, crash, key=_crash_time)
         return True
 
     def _drop_oldest(self) -> None:
@@ -241,177 +248,194 @@
     def _drop(self, crash: Crash) -> None:
         self._cases.clear()
         del self._crashes[crash.start]
-        known = self._by_service[crash.service]
-        known.remove(crash)
-        if not known:
+        service_crashes = self._by_service[crash.service]
+        service_crashes.remove(crash)
+        if not service_crashes:
             del self._by_service[crash.service]
         for fingerprint in crash.suspects:
-            self._of[fingerprint].remove(crash)
-            if not self._of[fingerprint]:
+            self._by_fingerprint[fingerprint].remove(crash)
+            if not self._by_fingerprint[fingerprint]:
                 self._forget_suspect(fingerprint)
 
     def _forget_suspect(self, fingerprint: str) -> None:
-        del self._of[fingerprint]
-        self._served.pop(fingerprint, None)
-        self._probed.pop(fingerprint, None)
+        del self._by_fingerprint[fingerprint]
+        self._answered_at.pop(fingerprint, None)
+        self._probed_at.pop(fingerprint, None)
         shape = shape_of(fingerprint)
-        self._shapes[shape] -= 1
-        if not self._shapes[shape]:
-            del self._shapes[shape]
+        self._shape_counts[shape] -= 1
+        if not self._shape_counts[shape]:
+            del self._shape_counts[shape]
 
     def clear(self, fingerprint: str, at: float) -> bool:
-        """Note that a suspect was answered whole; return whether that is news.
+        """Record a complete answer to a suspect; return whether to forward it to other VMs.
 
-        It is where it clears a crash.  Any later answer would be passed on among VMs without end,
-        since what is told on comes to look newer by its time on the way.
+        That is the case only for the first answer and for one that clears a crash. Forwarding every
+        later answer would never end: ages are relative to sending, so each hop makes it look newer.
         """
-        known = self._of.get(fingerprint)
-        if known is None:
-            return self._clear_early(fingerprint, at)
-        before = self._served.get(fingerprint, -math.inf)
+        crashes = self._by_fingerprint.get(fingerprint)
+        if crashes is None:
+            return self._record_early_answer(fingerprint, at)
+        before = self._answered_at.get(fingerprint, -math.inf)
         if at <= before:
             return False
-        self._served[fingerprint] = at
+        self._answered_at[fingerprint] = at
         self._cases.clear()
-        return any(before < crash.at <= at for crash in known) or before == -math.inf
-
-    def _clear_early(self, fingerprint: str, at: float) -> bool:
-        """Keep an answer whose crash is not known here yet: news come by several ways."""
-        is_news = fingerprint not in self._early
-        self._early[fingerprint] = max(at, self._early.pop(fingerprint, -math.inf))
-        while len(self._early) > MOST_EARLY:
-            del self._early[next(iter(self._early))]
+        return any(before < crash.at <= at for crash in crashes) or before == -math.inf
+
+    def _record_early_answer(self, fingerprint: str, at: float) -> bool:
+        """Keep an answer whose crash is not known here yet, since reports take different routes."""
+        is_news = fingerprint not in self._early_answers
+        self._early_answers[fingerprint] = max(at, self._early_answers.pop(fingerprint, -math.inf))
+        while len(self._early_answers) > MAX_EARLY_ANSWERS:
+            del self._early_answers[next(iter(self._early_answers))]
         return is_news
 
     def probe(self, fingerprint: str, at: float) -> bool:
-        """Note that a suspect is let through after its quarantine; return whether that is news."""
-        if fingerprint not in self._of:
+        """Record that a suspect is let through after its quarantine; return whether that is new."""
+        if fingerprint not in self._by_fingerprint:
             return False
-        before = self._probed.get(fingerprint, -math.inf)
-        self._probed[fingerprint] = max(before, at)
-        return at > before + PROBE_MS / 2
+        before = self._probed_at.get(fingerprint, -math.inf)
+        self._probed_at[fingerprint] = max(before, at)
+        return at > before + PROBE_TIMEOUT_MS / 2
 
     def refute(self, start: Start, at: float) -> bool:
-        """Note that a server has answered what was sent after its crash, so there was none.
+        """Record that a server answered a request sent after its supposed crash, which refutes it.
 
-        A server that has as many connections as it takes refuses others, as a dead one does.
+        A server at its connection limit refuses connections just as a crashed one does.
         """
-        if start in self._refuted:
+        if start in self._refuted_at:
             return False
-        self._refuted[start] = at
+        self._refuted_at[start] = at
         crash = self._crashes.get(start)
         if crash is not None:
             self._drop(crash)
         return True
 
     def judge(self, fingerprint: str, now: float) -> Verdict:
-        """Return what is to become of a request."""
-        case = self._cases.get(fingerprint)
-        if case is None:
-            case = self._cases[fingerprint] = self._case(fingerprint)
-        if not case.crashes:
+        """Return the verdict on a request."""
+        evidence = self._cases.get(fingerprint)
+        if evidence is None:
+            evidence = self._cases[fingerprint] = self._compute_evidence(fingerprint)
+        if not evidence.crashes:
             return Clear()
-        if case.decided_at == math.inf:
-            return Suspected(case.crashes, case.weight)
-        settled_at = case.decided_at + SETTLE_MS
+        if evidence.decided_at == math.inf:
+            return Suspected(evidence.crashes, evidence.weight)
+        settled_at = evidence.decided_at + SETTLE_MS
         if now < settled_at:
             return Undecided(settled_at - now)
-        until = case.last_at + QUARANTINE_MS
+        until = evidence.last_crash_at + QUARANTINE_MS
         if now < until:
-            return Quarantined(until - now, case.crashes)
-        probed_until = self._probed.get(fingerprint, -math.inf) + PROBE_MS
+            return Quarantined(until - now, evidence.crashes)
+        probed_until = self._probed_at.get(fingerprint, -math.inf) + PROBE_TIMEOUT_MS
         if now < probed_until:
-            return Quarantined(probed_until - now, case.crashes)
-        return Probation(case.crashes)
+            return Quarantined(probed_until - now, evidence.crashes)
+        return Probation(evidence.crashes)
 
-    def _case(self, fingerprint: str) -> _Case:
-        """Add up what the crashes since the last whole answer weigh.
+    def _compute_evidence(self, fingerprint: str) -> _Evidence:
+        """Sum the weights of the crashes since the last complete answer.
 
-        Copies of one request that were under way at the same time, or when a rack of servers was
-        lost, are one observation: a run counts beside the crash before it only if it began after.
+        Copies of a request that ran at the same time, or on a rack whose servers were lost
+        together, are one observation: a run adds to the previous crash only if it began after that
+        crash.
         """
-        served_at = self._served.get(fingerprint, -math.inf)
-        crashes = [item for item in self._of.get(fingerprint, ()) if item.at > served_at]
-        shared = Counter(other for crash in crashes for other in crash.suspects)
-        case, round_at, round_weight = _Case(), -math.inf, 0.0
+        served_at = self._answered_at.get(fingerprint, -math.inf)
+        crashes = [
+            item for item in self._by_fingerprint.get(fingerprint, ()) if item.at > served_at
+        ]
+        crash_counts = Counter(other for crash in crashes for other in crash.suspects)
+        evidence, round_began_at, round_weight = _Evidence(), -math.inf, 0.0
         for crash in crashes:
             suspect = crash.suspects[fingerprint]
-            weight = self._weight(crash, suspect, shared)
-            if suspect.began_at >= round_at - ORDER_SLACK_MS:
-                round_at, round_weight, more = crash.at, weight, weight
+            weight = self._crash_weight(crash, suspect, crash_counts)
+            if suspect.began_at >= round_began_at - OBSERVATION_SKEW_MS:
+                round_began_at, round_weight, added_weight = crash.at, weight, weight
             else:
-                more = max(0.0, weight - round_weight)
-                round_weight += more
-            total = case.weight + more
-            decided = case.decided_at == math.inf and total >= QUARANTINED_FROM
-            decided_at = crash.at if decided else case.decided_at
-            case = _Case(total, case.crashes + 1, decided_at, crash.at)
-        return case
-
-    def _weight(self, crash: Crash, suspect: Suspect, shared: Counter[str]) -> float:
-        """Return how much one crash speaks against one of those who were open there.
-
-        It is the least that another explanation of the crash costs: an accident, or one of the
-        others, whose cost is spread over all crashes that it explains.  The sum over all crashes
-        is thus never more than what the cheapest set of explanations costs.
+                added_weight = max(0.0, weight - round_weight)
+                round_weight += added_weight
+            total = evidence.weight + added_weight
+            decided = evidence.decided_at == math.inf and total >= QUARANTINE_WEIGHT
+            decided_at = crash.at if decided else evidence.decided_at
+            evidence = _Evidence(total, evidence.crashes + 1, decided_at, crash.at)
+        return evidence
+
+    def _crash_weight(self, crash: Crash, suspect: Suspect, crash_counts: Counter[str]) -> float:
+        """Return the weight of a crash as evidence against one of the requests open there.
+
+        It is the cost of the cheapest other explanation: chance, or one of the other requests,
+        whose cost is spread over all crashes that it explains. The sum over all crashes therefore
+        never exceeds the cost of the cheapest set of explanations.
         """
-        if crash.crowded:
+        if crash.has_too_many_suspects:
             return 0.0
-        own = shared[suspect.fingerprint]
-        costs = [
-            self._cost(other, own) / shared[other]
+        own_count = crash_counts[suspect.fingerprint]
+        alternative_costs = [
+            self._alternative_cause_cost(other, own_count) / crash_counts[other]
             for other in crash.suspects
-            if other != suspect.fingerprint and other not in self._served
+            if other != suspect.fingerprint and other not in self._answered_at
         ]
-        return min([self._accident_weight(crash, suspect), *costs])
+        return min([self._accident_weight(crash, suspect), *alternative_costs])
 
-    def _cost(self, other: str, own: int) -> float:
-        """Return how unlikely it is that another one is the cause where a suspect has ``own``.
+    def _alternative_cause_cost(self, other: str, own_count: int) -> float:
+        """Return the cost of blaming another request, for a suspect with ``own_count`` crashes.
 
-        Whoever was at as many crashes explains them just as well.
+        A request that was open at as many of the crashes explains them equally well.
         """
-        return DOUBT_WEIGHT * max(0.0, 1.0 - len(self._of[other]) / own)
+        return ALTERNATIVE_CAUSE_WEIGHT * max(
+            0.0, 1.0 - len(self._by_fingerprint[other]) / own_count
+        )
 
     def _accident_weight(self, crash: Crash, suspect: Suspect) -> float:
-        """Return how unlikely it is that a server crashed during a run for another reason."""
+        """Return how unlikely it is that the server crashed during the run by chance."""
         ran_ms = max(1.0, crash.at - suspect.began_at)
-        chance = -math.expm1(-self._rate(crash, suspect.fingerprint) * ran_ms)
-        weight = math.log(CALIBRATION) + (CALIBRATION - 1) * math.log(chance)
-        return min(MOST_WEIGHT, weight)
+        chance = -math.expm1(-self._background_crash_rate(crash, suspect.fingerprint) * ran_ms)
+        weight = math.log(CALIBRATOR_KAPPA) + (CALIBRATOR_KAPPA - 1) * math.log(chance)
+        return min(MAX_CRASH_WEIGHT, weight)
 
-    def _rate(self, crash: Crash, fingerprint: str) -> float:
-        """Return how often a server crashes without this request, in crashes a millisecond.
+    def _background_crash_rate(self, crash: Crash, fingerprint: str) -> float:
+        """Return the rate of crashes without this request, in crashes per server and millisecond.
 
-        The long time tells what is usual, the short one that a storm has just begun.
+        The long window gives the usual rate; the short one detects a burst that has just begun.
         """
-        usual = self._others(crash, fingerprint, crash.at - RATE_MS, crash.at) + 1
-        storm = self._others(crash, fingerprint, crash.at - STORM_MS, crash.at + STORM_MS)
-        return max(usual / RATE_MS, storm / (2 * STORM_MS)) / max(1, crash.servers)
+        usual_crashes = (
+            self._count_unexplained_crashes(
+                crash, fingerprint, crash.at - CRASH_RATE_WINDOW_MS, crash.at
+            )
+            + 1
+        )
+        burst_crashes = self._count_unexplained_crashes(
+            crash, fingerprint, crash.at - CRASH_BURST_WINDOW_MS, crash.at + CRASH_BURST_WINDOW_MS
+        )
+        return max(
+            usual_crashes / CRASH_RATE_WINDOW_MS, burst_crashes / (2 * CRASH_BURST_WINDOW_MS)
+        ) / max(1, crash.servers)
 
-    def _others(self, crash: Crash, fingerprint: str, begin: float, end: float) -> int:
-        """Return how many servers of a service crashed in a time for no reason that is known.
+    def _count_unexplained_crashes(
+        self, crash: Crash, fingerprint: str, begin: float, end: float
+    ) -> int:
+        """Count the crashes of a service in a time span that have no known cause.
 
-        Another deadly request ends many servers in a short time, which are no accidents.
+        Another query of death ends many servers in a short time; those are not background crashes.
         """
-        known = self._by_service[crash.service]
-        first = bisect.bisect_left(known, begin, key=_time_of)
-        last = bisect.bisect_right(known, end, key=_time_of)
+        crashes = self._by_service[crash.service]
+        first = bisect.bisect_left(crashes, begin, key=_crash_time)
+        last = bisect.bisect_right(crashes, end, key=_crash_time)
         return sum(
             fingerprint not in item.suspects and not self._has_likely_cause(item)
-            for item in known[first:last]
+            for item in crashes[first:last]
         )
 
     def _has_likely_cause(self, crash: Crash) -> bool:
         return any(
-            len(self._of[item]) >= LIKELY_FROM and item not in self._served
+            len(self._by_fingerprint[item]) >= LIKELY_CAUSE_CRASHES
+            and item not in self._answered_at
             for item in crash.suspects
         )
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to matter."""
+        """Drop expired crashes and refutations."""
         for crash in list(self._crashes.values()):
-            if now - crash.at > KEEP_MS:
+            if now - crash.at > CRASH_RETENTION_MS:
                 self._drop(crash)
-        for start, at in list(self._refuted.items()):
-            if now - at > KEEP_MS:
-                del self._refuted[start]
+        for start, at in list(self._refuted_at.items()):
+            if now - at > CRASH_RETENTION_MS:
+                del self._refuted_at[start]
--- a/tests/coordination/crash_world.py
+++ b/tests/coordination/crash_world.py
@@ -1,8 +1,8 @@
-"""Servers that crash, in virtual time: who is turned away, and how often the deadly one is sent.
+"""Simulates crashing servers in virtual time, to test the crash ledger.
 
-Every request is sent to a server drawn by lot, and again after each crash.  Where suspects are
-kept apart, requests gather on few servers, and a suspect goes to one that holds nothing, if there
-is one, where nobody joins it.  Reports and whole answers reach the ledger late and out of order.
+Every request is sent to a random server, and again after each crash. With ``apart`` set, ordinary
+requests are packed onto few servers and a suspect goes to an idle server, if there is one, which
+then gets no other requests. Reports and complete answers reach the ledger late and out of order.
 """
 
 import heapq
@@ -27,7 +27,7 @@
 
 SERVICE = "m"
 MOST_TRIES = 6
-# A request under which two servers have crashed waits so long for a server of its own.
+# A request with two crashes waits this long for a server of its own.
 ALONE_MS = 4_000.0
 ASK_AGAIN_MS = 200.0
 GATHERED = 6
@@ -35,7 +35,10 @@
 
 @dataclass
 class World:
-    """What the world does; times in milliseconds, ``crash_every_ms`` of accidents in the fleet."""
+    """Parameters of a simulation; times are in milliseconds.
+
+    ``accidents_every_ms`` is the mean interval of unrelated crashes in the whole fleet.
+    """
 
     seed: int
     servers: int = 20
@@ -45,19 +48,19 @@
     deadly_every_ms: float = 300.0
     deadly_ms: float = 100.0
     accidents_every_ms: float = 0.0
-    # Whether sound requests are copies of one body.
+    # Whether all harmless requests have the same body.
     same_body: bool = False
     apart: bool = False
     comes_again: bool = True
     back_ms: float = 3_000.0
     late_ms: float = 100.0
     run_ms: float = 20_000.0
-    # Servers are dealt out to so many failure domains; one of them is cut off this often, for this
-    # long: its connections are reset, and new ones refused.
+    # Servers are distributed over this many failure domains. One of them is cut off at this
+    # interval for this long: its connections are reset, and new ones are refused.
     domains: int = 3
     cut_every_ms: float = 0.0
     cut_ms: float = 4_000.0
-    # Whether others of a failure domain are asked before a server there is taken for crashed.
+    # Whether other servers of a failure domain are checked before a server there counts as crashed.
     witnesses: bool = True
 
 
@@ -75,7 +78,7 @@
 
 @dataclass
 class Result:
-    """What became of everybody."""
+    """Counts of what happened to the requests."""
 
     turned_away: Counter = field(default_factory=Counter)
     sent: Counter = field(default_factory=Counter)
@@ -92,7 +95,7 @@
 
 
 def play(world: World) -> Result:
-    """Play a world to its end."""
+    """Run a simulation to its end."""
     return _Play(world).run()
 
 
@@ -128,7 +131,7 @@
         heapq.heappush(self._queue, (when, next(self._order), act, args))
 
     def _later(self, act, *args) -> None:
-        """Do something once a report of it has arrived."""
+        """Schedule an action for when its report arrives."""
         self._at(self._now + self._rng.uniform(0.2, 1.0) * self._world.late_ms, act, *args)
 
     def _sound_comes(self, number: int) -> None:
@@ -208,11 +211,11 @@
             self._at(self._now + gap, self._accident)
 
     def _is_reached(self, number: int) -> bool:
-        """Tell whether a server runs, and is not cut off."""
+        """Return whether a server is running and not cut off."""
         return self._running[number] is not None and number % self._world.domains != self._cut
 
     def _cut_off(self) -> None:
-        """Cut one failure domain off: all that runs there breaks off, and nothing has crashed."""
+        """Cut off a failure domain: all requests there are aborted, but no server crashes."""
         self._cut = self._rng.randrange(self._world.domains)
         for number in self._running:
             if number % self._world.domains == self._cut and self._running[number] is not None:
@@ -227,13 +230,13 @@
         self._cut = None
 
     def _report(self, number: int, start, at: float, suspects, asked: int = 0) -> None:
-        """Take a crash in, unless the whole failure domain refuses; then ask again later."""
+        """Record a crash unless the whole failure domain refuses; then check again later."""
         world = self._world
         others = [
             other
             for other in self._running
             if other != number and other % world.domains == number % world.domains
-            # Whoever is known to have crashed is no witness.
+            # A server known to have crashed cannot be a witness.
             and self._ledger.find((f"server-{other}", self._starts[other])) is None
         ]
         names = choose_witnesses([str(other) for other in others], self._rng)
@@ -245,7 +248,7 @@
             self._at(self._now + ASK_AGAIN_SECONDS * 1000, self._look_again, *again)
 
     def _look_again(self, number: int, *more) -> None:
-        """Drop the question where the server is reached, as it is once a cut has healed."""
+        """Repeat the check unless the server can be reached, as it can after the cut has ended."""
         if not self._is_reached(number):
             self._report(number, *more)
 
@@ -254,7 +257,7 @@
             self._crash(run.server)
 
     def _crash(self, server: int) -> None:
-        """End a server; each VM that had requests there reports its own, and sends them on."""
+        """Crash a server; each VM that had requests there reports and retries its own."""
         runs, self._running[server] = self._running[server], None
         self._starts[server] += 1
         start = (f"server-{server}", self._starts[server])
@@ -266,7 +269,7 @@
         self._break_off(server, start, runs)
 
     def _break_off(self, server: int, start, runs: list[Run]) -> None:
-        """Let each VM that had requests at a server report its own, and send them on."""
+        """Abort requests at a server; each VM reports and retries its own."""
         for run in runs:
             run.open = False
             self._report(server, start, self._now, [Suspect(run.fingerprint, run.began_at)])
