--- a/siskinspoke/coordination/crash_watch.py
+++ b/siskinspoke/coordination/crash_watch.py
@@ -1,9 +1,9 @@
-"""What one VM makes of servers' crashes: who was open there, what it tells others and hears.
+"""Tracks server crashes on one VM and exchanges crash reports with the other VMs.
 
-Whoever serves requests notes each attempt as a run.  When a server crashes, the runs that were open
-there are its suspects; only then their bodies are read.  Crashes, and the whole answers that clear
-a suspect, are told to the other VMs, which add who they had open there themselves.  Times are in
-milliseconds of this VM's clock.
+Code that serves requests registers each attempt as a run. When a server crashes, the runs that were
+open there become its suspects; their bodies are hashed only then. Crashes, and the complete answers
+that clear a suspect, are sent to the other VMs, which add the runs they had open there themselves.
+Times are in milliseconds of this VM's clock.
 """
 
 import math
@@ -34,27 +34,28 @@
     crash_news,
 )
 
-# A server may crash under a request that has just been taken away from it, which still works there
-# until the server has noticed.
-LINGER_MS = 1_000.0
-# That a server crashed may come to be known only when it is back.
-LEFT_MS = 10_000.0
-MOST_LEFT = 256
-# A newcomer is told of this many crashes, the newest ones.
-MOST_TOLD = 256
-# A message of this many crashes fits into a datagram with all suspects that a crash may have.
-CRASHES_A_MESSAGE = 16
+# A server may still crash under a request that has just been withdrawn, since it works on the
+# request until it notices.
+ABANDONED_GRACE_MS = 1_000.0
+# A crash may be detected only once the server is back.
+ABANDONED_RETENTION_MS = 10_000.0
+MAX_ABANDONED_RUNS = 256
+# A VM that has just connected is sent this many crashes, the most recent ones.
+MAX_REPLAYED_CRASHES = 256
+# A message with this many crashes fits into a datagram even if each has the maximum number of
+# suspects.
+CRASHES_PER_MESSAGE = 16
 
 
 class Log(Protocol):
-    """Where decisions are written down."""
+    """The decision log."""
 
     def note(self, event: str, **fields: Any) -> None:
-        """Write down one event and what decided it."""
+        """Write one event with the data that explains it."""
 
 
 class RunEnd(Enum):
-    """How an attempt ended: with a whole answer, refused unread, or nobody knows."""
+    """How an attempt ended: with a complete answer, refused before it was read, or unknown."""
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
@@ -63,15 +64,15 @@
 
 @dataclass(eq=False, slots=True)
 class Run:
-    """One attempt at one server or several."""
+    """One attempt, sent to one or several servers."""
 
     subject: Subject
     starts: frozenset[Start]
     began_at: float
 
 
-class LeftRun(NamedTuple):
-    """An attempt that has broken off; the body of its request is not kept."""
+class AbandonedRun(NamedTuple):
+    """An attempt that was cut off; the request body is not kept."""
 
     fingerprint: str
     starts: frozenset[Start]
@@ -80,69 +81,69 @@
 
 
 class CrashWatch:
-    """Own the ledger of a VM and the runs that are open on it."""
+    """Holds a VM's crash ledger and its open runs."""
 
     def __init__(self, tell: Callable[[CrashNews], None], counters: Counters, log: Log) -> None:
-        self._tell = tell
+        self._publish = tell
         self._counters = counters
         self._log = log
         self._ledger = CrashLedger()
         self._open: set[Run] = set()
-        self._left: deque[LeftRun] = deque(maxlen=MOST_LEFT)
-        self._own: dict[Start, set[str]] = {}
+        self._abandoned: deque[AbandonedRun] = deque(maxlen=MAX_ABANDONED_RUNS)
+        self._local_suspects: dict[Start, set[str]] = {}
         self._quarantined: set[str] = set()
-        self._answered: dict[str, float] = {}
+        self._answered_at: dict[str, float] = {}
 
     @property
     def ledger(self) -> CrashLedger:
-        """Return what is known of crashes."""
+        """Return the crash ledger."""
         return self._ledger
 
     def began(self, subject: Subject, starts: Iterable[Start], now: float) -> Run:
-        """Note an attempt; it must be ended."""
+        """Register an attempt; the caller must pass it to ``ended`` later."""
         run = Run(subject, frozenset(starts), now)
         self._open.add(run)
         return run
 
     def ended(self, run: Run, end: RunEnd, now: float) -> None:
-        """Note how an attempt ended."""
+        """Record how an attempt ended."""
         self._open.discard(run)
         match end:
             case RunEnd.WHOLE:
                 self._clear(run.subject, now)
             case RunEnd.BROKE:
                 fingerprint = run.subject.fingerprint
-                self._left.append(LeftRun(fingerprint, run.starts, run.began_at, now))
+                self._abandoned.append(AbandonedRun(fingerprint, run.starts, run.began_at, now))
 
     def _clear(self, subject: Subject, now: float) -> None:
         if not self.is_suspect(subject):
             return
         fingerprint = subject.fingerprint
-        self._answered[fingerprint] = now
+        self._answered_at[fingerprint] = now
         if not self._ledger.clear(fingerprint, now):
             return
         self._counters.count("crash.cleared")
         lifted = fingerprint in self._quarantined
         self._quarantined.discard(fingerprint)
         self._log.note("request.cleared", fingerprint=fingerprint, lifted=lifted)
-        self._tell(crash_news(served=[SuspectEvent(fingerprint, 0)]))
+        self._publish(crash_news(served=[SuspectEvent(fingerprint, 0)]))
 
     def is_suspect(self, subject: Subject) -> bool:
-        """Tell whether a server crashed with this request open; its body is read if need be."""
+        """Return whether a server crashed with this request open; hash the body only if needed."""
         if self._ledger.is_empty or not self._ledger.has_shape(subject.shape):
             return False
         return self._ledger.knows(subject.fingerprint)
 
     def judge(self, subject: Subject, now: float) -> Verdict:
-        """Return what is to become of a request."""
+        """Return the verdict on a request."""
         if not self.is_suspect(subject):
             return Clear()
         verdict = self._ledger.judge(subject.fingerprint, now)
-        self._note_verdict(subject.fingerprint, verdict)
+        self._log_verdict(subject.fingerprint, verdict)
         return verdict
 
-    def _note_verdict(self, fingerprint: str, verdict: Verdict) -> None:
-        """Write down when a quarantine begins here, with the crashes that decided it."""
+    def _log_verdict(self, fingerprint: str, verdict: Verdict) -> None:
+        """Log the start and end of a quarantine on this VM, with the crashes that led to it."""
         match verdict:
             case Quarantined(left_ms=left_ms, crashes=crashes):
                 if fingerprint in self._quarantined:
@@ -164,53 +165,54 @@
                 self._log.note("request.released", fingerprint=fingerprint)
 
     def probe(self, subject: Subject, now: float) -> None:
-        """Note that one attempt of a request is let through after its quarantine."""
+        """Record that one attempt of a request is let through after its quarantine."""
         fingerprint = subject.fingerprint
         if self._ledger.probe(fingerprint, now):
             self._counters.count("quarantine.probed")
             self._log.note("request.probed", fingerprint=fingerprint)
-            self._tell(crash_news(probed=[SuspectEvent(fingerprint, 0)]))
+            self._publish(crash_news(probed=[SuspectEvent(fingerprint, 0)]))
 
     def has_crashed(self, start: Start) -> bool:
-        """Tell whether one start of a server is known to have crashed."""
+        """Return whether an incarnation of a server is known to have crashed."""
         return self._ledger.find(start) is not None
 
     def crashed(self, start: Start, service: str, servers: int, at: float, now: float) -> None:
-        """Take in that a server crashed; ``servers`` is how many its service has."""
+        """Record a server crash; ``servers`` is the number of servers of its service."""
         known = self._ledger.find(start)
         suspects = self._suspects_at(start, at if known is None else known.at)
-        fresh = self._ledger.add(start, service, servers, at, suspects)
-        if fresh is None:
+        new_suspects = self._ledger.add(start, service, servers, at, suspects)
+        if new_suspects is None:
             return
         if known is None:
-            self._note_crash(start, service, servers, suspects, told=False)
-        self._tell_own(start, fresh, now)
+            self._log_crash(start, service, servers, suspects, told=False)
+        self._publish_local_suspects(start, new_suspects, now)
 
     def started_anew(self, start: Start, service: str, servers: int, now: float) -> None:
-        """Take in that a server has started again, and so crashed, unseen, some time before.
+        """Record a restart that reveals an earlier, undetected crash.
 
-        What was sent to it broke off when it did; what has not broken off yet will not be answered.
+        Attempts at the old incarnation were cut off when it crashed; those still open will not be
+        answered.
         """
-        ends = [run.ended_at for run in self._left if start in run.starts]
-        waits = any(start in run.starts for run in self._open)
-        at = now if waits or not ends else max(ends)
+        ended_at = [run.ended_at for run in self._abandoned if start in run.starts]
+        has_open_run = any(start in run.starts for run in self._open)
+        at = now if has_open_run or not ended_at else max(ended_at)
         self.crashed(start, service, servers, at, now)
 
     def _suspects_at(self, start: Start, at: float) -> list[Suspect]:
-        """Return this VM's runs that were open at a server when it crashed, or had just left."""
-        found = [
+        """Return this VM's runs that were open, or just abandoned, when a server crashed."""
+        suspects = [
             Suspect(run.subject.fingerprint, run.began_at)
             for run in self._open
             if start in run.starts and run.began_at <= at
         ]
-        found += [
+        suspects += [
             Suspect(run.fingerprint, run.began_at)
-            for run in self._left
-            if start in run.starts and run.began_at <= at <= run.ended_at + LINGER_MS
+            for run in self._abandoned
+            if start in run.starts and run.began_at <= at <= run.ended_at + ABANDONED_GRACE_MS
         ]
-        return sorted(found, key=lambda item: item.began_at)
+        return sorted(suspects, key=lambda item: item.began_at)
 
-    def _note_crash(
+    def _log_crash(
         self, start: Start, service: str, servers: int, suspects: list[Suspect], told: bool
     ) -> None:
         server, incarnation = start
@@ -225,113 +227,119 @@
             told=told,
         )
 
-    def _tell_own(self, start: Start, suspects: list[Suspect], now: float) -> None:
-        """Tell the others whom this VM had open at a crash, if anybody."""
+    def _publish_local_suspects(self, start: Start, suspects: list[Suspect], now: float) -> None:
+        """Send the other VMs the runs that this VM had open at a crash, if any."""
         if not suspects:
             return
-        self._own.setdefault(start, set()).update(item.fingerprint for item in suspects)
-        report = _report_of(self._ledger.find(start), suspects, now)
-        self._tell(crash_news([report]))
+        self._local_suspects.setdefault(start, set()).update(item.fingerprint for item in suspects)
+        report = _crash_report(self._ledger.find(start), suspects, now)
+        self._publish(crash_news([report]))
 
     def answered(self, start: Start, sent_at: float, now: float) -> None:
-        """Take in an answer to what was sent at a time; a server that crashed before gives none."""
+        """Handle an answer to a request sent at ``sent_at``; it refutes an earlier crash."""
         crash = self._ledger.find(start)
         if crash is None or sent_at <= crash.at or not self._ledger.refute(start, now):
             return
         server, incarnation = start
         self._counters.count("crash.refuted")
         self._log.note("server.not_crashed", server=server, start=incarnation)
-        self._tell(crash_news(refuted=[RefutedCrash(server, incarnation)]))
+        self._publish(crash_news(refuted=[RefutedCrash(server, incarnation)]))
 
     def hear(self, news: CrashNews, now: float) -> CrashNews:
-        """Take in what another VM tells, and return the part of it that is news here."""
+        """Apply another VM's news and return the part that was new to this VM."""
         return crash_news(
-            crashes=[report for report in news.crashes if self._hear_crash(report, now)],
-            served=[item for item in news.served if self._hear_served(item, now)],
-            probed=[item for item in news.probed if self._hear_probed(item, now)],
-            refuted=[item for item in news.refuted if self._hear_refuted(item, now)],
+            crashes=[report for report in news.crashes if self._handle_crash(report, now)],
+            served=[item for item in news.served if self._handle_served(item, now)],
+            probed=[item for item in news.probed if self._handle_probed(item, now)],
+            refuted=[item for item in news.refuted if self._handle_refuted(item, now)],
         )
 
-    def _hear_crash(self, report: CrashReport, now: float) -> bool:
+    def _handle_crash(self, report: CrashReport, now: float) -> bool:
         at = now - report.age_ms
         start = (report.server, report.incarnation)
         suspects = [Suspect(item.fingerprint, at - item.ran_ms) for item in report.suspects]
         is_known = self._ledger.find(start) is not None
-        fresh = self._ledger.add(start, report.service, report.servers, at, suspects)
-        if fresh is None:
+        new_suspects = self._ledger.add(start, report.service, report.servers, at, suspects)
+        if new_suspects is None:
             return False
         if is_known:
-            # Each VM that had a request open there tells of its own; one line a crash is enough.
+            # Each VM that had a request open there reports it; log only one line per crash.
             self._counters.count("crash.told_more")
         else:
-            self._note_crash(start, report.service, report.servers, fresh, told=True)
-        own = self._suspects_at(start, self._ledger.find(start).at)
-        more = self._ledger.add(start, report.service, report.servers, at, own)
-        self._tell_own(start, more or [], now)
-        self._tell_answered(fresh, at, now)
+            self._log_crash(start, report.service, report.servers, new_suspects, told=True)
+        local_suspects = self._suspects_at(start, self._ledger.find(start).at)
+        new_local_suspects = self._ledger.add(
+            start, report.service, report.servers, at, local_suspects
+        )
+        self._publish_local_suspects(start, new_local_suspects or [], now)
+        self._publish_answered(new_suspects, at, now)
         return True
 
-    def _tell_answered(self, suspects: list[Suspect], crashed_at: float, now: float) -> None:
-        """Tell which suspects this VM has answered since their crash, before it heard of that."""
+    def _publish_answered(self, suspects: list[Suspect], crashed_at: float, now: float) -> None:
+        """Publish suspects that this VM answered between their crash and its report."""
         cleared = [
             SuspectEvent(item.fingerprint, round(now - answered_at))
             for item in suspects
-            if (answered_at := self._answered.get(item.fingerprint, -math.inf)) >= crashed_at
+            if (answered_at := self._answered_at.get(item.fingerprint, -math.inf)) >= crashed_at
         ]
         if cleared:
-            self._tell(crash_news(served=cleared))
+            self._publish(crash_news(served=cleared))
 
-    def _hear_served(self, item: SuspectEvent, now: float) -> bool:
+    def _handle_served(self, item: SuspectEvent, now: float) -> bool:
         return self._ledger.clear(item.fingerprint, now - item.age_ms)
 
-    def _hear_probed(self, item: SuspectEvent, now: float) -> bool:
+    def _handle_probed(self, item: SuspectEvent, now: float) -> bool:
         return self._ledger.probe(item.fingerprint, now - item.age_ms)
 
-    def _hear_refuted(self, item: RefutedCrash, now: float) -> bool:
+    def _handle_refuted(self, item: RefutedCrash, now: float) -> bool:
         return self._ledger.refute((item.server, item.incarnation), now)
 
     def all_news(self, now: float) -> list[CrashNews]:
-        """Return what a VM that knows nothing needs to know of the suspects there are."""
+        """Return everything a VM without any state needs to know about the current suspects."""
         ledger = self._ledger
         crashes = [crash for crash in ledger.crashes if crash.suspects.keys() - ledger.served]
-        crashes = sorted(crashes, key=lambda crash: crash.at)[-MOST_TOLD:]
-        return self._news_of([(crash, list(crash.suspects.values())) for crash in crashes], now)
+        crashes = sorted(crashes, key=lambda crash: crash.at)[-MAX_REPLAYED_CRASHES:]
+        return self._messages_for(
+            [(crash, list(crash.suspects.values())) for crash in crashes], now
+        )
 
     def own_news(self, now: float) -> list[CrashNews]:
-        """Return what this VM itself has seen, for one that may have forgotten it."""
-        told = []
-        for start, fingerprints in self._own.items():
+        """Return what this VM observed itself, for a VM that may have lost its state."""
+        entries = []
+        for start, fingerprints in self._local_suspects.items():
             crash = self._ledger.find(start)
             if crash is not None:
-                own = [crash.suspects[item] for item in fingerprints if item in crash.suspects]
-                told.append((crash, own))
-        return self._news_of(told[-MOST_TOLD:], now)
-
-    def _news_of(self, told: list[tuple[Crash, list[Suspect]]], now: float) -> list[CrashNews]:
-        found = []
-        for begin in range(0, len(told), CRASHES_A_MESSAGE):
-            part = told[begin : begin + CRASHES_A_MESSAGE]
-            reports = [_report_of(crash, suspects, now) for crash, suspects in part]
-            named = {item.fingerprint for report in reports for item in report.suspects}
-            served = _events(self._ledger.served, named, now)
-            probed = _events(self._ledger.probed, named, now)
-            found.append(crash_news(reports, served, probed))
-        return found
+                suspects = [crash.suspects[item] for item in fingerprints if item in crash.suspects]
+                entries.append((crash, suspects))
+        return self._messages_for(entries[-MAX_REPLAYED_CRASHES:], now)
+
+    def _messages_for(
+        self, entries: list[tuple[Crash, list[Suspect]]], now: float
+    ) -> list[CrashNews]:
+        messages = []
+        for index in range(0, len(entries), CRASHES_PER_MESSAGE):
+            batch = entries[index : index + CRASHES_PER_MESSAGE]
+            reports = [_crash_report(crash, suspects, now) for crash, suspects in batch]
+            fingerprints = {item.fingerprint for report in reports for item in report.suspects}
+            served = _suspect_events(self._ledger.served, fingerprints, now)
+            probed = _suspect_events(self._ledger.probed, fingerprints, now)
+            messages.append(crash_news(reports, served, probed))
+        return messages
 
     def forget(self, now: float) -> None:
-        """Drop what is too old to matter."""
-        while self._left and now - self._left[0].ended_at > LEFT_MS:
-            self._left.popleft()
+        """Drop expired entries."""
+        while self._abandoned and now - self._abandoned[0].ended_at > ABANDONED_RETENTION_MS:
+            self._abandoned.popleft()
         self._ledger.forget(now)
-        for start in [start for start in self._own if self._ledger.find(start) is None]:
-            del self._own[start]
-        for item in [item for item in self._answered if not self._ledger.knows(item)]:
-            del self._answered[item]
+        for start in [start for start in self._local_suspects if self._ledger.find(start) is None]:
+            del self._local_suspects[start]
+        for item in [item for item in self._answered_at if not self._ledger.knows(item)]:
+            del self._answered_at[item]
         self._quarantined = {item for item in self._quarantined if self._ledger.knows(item)}
         self._counters.gauge("crash.remembered", len(self._ledger.crashes))
 
 
-def _report_of(crash: Crash, suspects: Iterable[Suspect], now: float) -> CrashReport:
+def _crash_report(crash: Crash, suspects: Iterable[Suspect], now: float) -> CrashReport:
     server, incarnation = crash.start
     return CrashReport(
         server,
@@ -343,5 +351,9 @@
     )
 
 
-def _events(times: dict[str, float], named: set[str], now: float) -> list[SuspectEvent]:
-    return [SuspectEvent(item, round(now - at)) for item, at in times.items() if item in named]
+def _suspect_events(
+    times: dict[str, float], fingerprints: set[str], now: float
+) -> list[SuspectEvent]:
+    return [
+        SuspectEvent(item, round(now - at)) for item, at in times.items() if item in fingerprints
+    ]
--- a/tests/coordination/test_crash_watch.py
+++ b/tests/coordination/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Tests of what VMs tell each other of servers' crashes."""
+"""Tests of the exchange of crash reports between VMs."""
 
 from siskinspoke.coordination.crash_watch import CrashWatch, RunEnd
 from siskinspoke.coordination.crashes import Clear, Quarantined, Suspected
@@ -16,12 +16,12 @@
 
 
 def watch(told: list[CrashNews]) -> CrashWatch:
-    """Return the watch of a VM whose news are added to a list."""
+    """Return a VM's crash watch that appends its messages to a list."""
     return CrashWatch(told.append, Counters(), Quiet())
 
 
 class Vms:
-    """Some VMs, each of which passes on to all others what is news to it, a little later."""
+    """Several VMs, each of which forwards new reports to all others with a delay."""
 
     def __init__(self, count: int):
         self.now = 1_000.0
@@ -36,7 +36,7 @@
         self._waiting += [(number, news) for number in range(len(self.watches)) if number != teller]
 
     def settle(self) -> None:
-        """Deliver what is said until nobody has anything to say, for a bounded time."""
+        """Deliver messages until there are none left, up to a limit."""
         while self._waiting and self.messages < MOST_MESSAGES * len(self.watches) ** 2:
             number, news = self._waiting.pop(0)
             self.messages += 1
@@ -55,15 +55,15 @@
         self.settle()
 
     def serve(self, number: int, subject: Subject) -> None:
-        """Have a VM answer a request whole."""
+        """Have a VM answer a request completely."""
         run = self.watches[number].began(subject, [("well", 1)], self.now)
         self.now += RAN_MS
         self.watches[number].ended(run, RunEnd.WHOLE, self.now)
         self.settle()
 
 
-class TestTelling:
-    """What one VM has seen all know, and nobody says it for ever."""
+class TestExchange:
+    """All VMs learn what one has observed, and forwarding ends."""
 
     def test_crashes_at_three_vms(self):
         vms = Vms(3)
@@ -73,8 +73,8 @@
         for item in vms.watches:
             assert isinstance(item.judge(DEADLY, vms.now), Quarantined)
 
-    def test_neighbours_at_other_vms(self):
-        """The cause is at one VM, its neighbour at another, the answer that clears at a third."""
+    def test_suspects_at_different_vms(self):
+        """The cause, another request and the answer that clears it are at three different VMs."""
         vms = Vms(3)
         for number in range(3):
             start = (f"s{number}", 1)
@@ -92,12 +92,12 @@
             assert isinstance(item.judge(DEADLY, vms.now), Quarantined)
             assert item.judge(SOUND, vms.now) == Clear()
 
-    def test_news_come_to_an_end(self):
-        """Control VMs passed a whole answer on to each other, each time as a later one.
+    def test_forwarding_of_answers_ends(self):
+        """Forwarding a complete answer must end.
 
-        Ages are counted from the sending, so the time on the way made it look newer: 490,000
-        messages reached one entry VM in half a minute, and took three quarters of all processor
-        time.
+        Ages are relative to sending, so each hop made the answer look newer, and control VMs
+        forwarded it to each other without end: 490,000 messages reached one entry VM in half a
+        minute and took three quarters of the CPU time.
         """
         vms = Vms(4)
         vms.crash(0, "s0", SOUND)
@@ -108,7 +108,7 @@
         vms.serve(3, SOUND)
         assert vms.messages == before
 
-    def test_probes_come_to_an_end(self):
+    def test_forwarding_of_probes_ends(self):
         vms = Vms(4)
         vms.crash(0, "s0", DEADLY)
         before = vms.messages
@@ -116,8 +116,8 @@
         vms.settle()
         assert vms.messages - before < MOST_MESSAGES
 
-    def test_answer_is_known_before_the_crash(self):
-        """The report of a crash is lost at first and comes by way of a control VM."""
+    def test_answer_arrives_before_the_crash(self):
+        """The first report of a crash is lost; it arrives by a control VM, after the answer."""
         told, late = [], []
         first, last = watch(told), watch(late)
         run = first.began(SOUND, [("s0", 1)], 0.0)
@@ -131,7 +131,7 @@
         assert last.judge(SOUND, 230.0) == Clear()
 
     def test_answered_between_a_crash_and_its_report(self):
-        """A VM answers a suspect, which is no news to it, and then hears of an earlier crash."""
+        """A VM's repeated answer is not forwarded, but clears a crash that is reported later."""
         told, reports = [], []
         one, other = watch(told), watch(reports)
         run = one.began(SOUND, [("s0", 1)], 0.0)
@@ -147,7 +147,7 @@
         other.hear(told[0], 936.0)
         assert other.judge(SOUND, 940.0) == Clear()
 
-    def test_news_survive_the_wire(self):
+    def test_messages_survive_encoding(self):
         told = []
         one = watch(told)
         run = one.began(DEADLY, [("s0", 1)], 0.0)
@@ -157,7 +157,7 @@
 
 
 class TestRuns:
-    """Who was open at a server when it crashed."""
+    """Which requests were open at a server when it crashed."""
 
     def suspects(self, *ends, at=100.0):
         one = watch([])
@@ -169,22 +169,22 @@
         one.crashed(("s0", 1), "m", 20, at, at)
         return len(one.ledger.find(("s0", 1)).suspects)
 
-    def test_open_and_broken_off(self):
+    def test_open_and_abandoned(self):
         assert self.suspects((None, 0.0), (RunEnd.BROKE, 100.0)) == 2
 
-    def test_left_just_before(self):
-        """A late first token is awaited elsewhere; the server that was left crashed 50 ms later."""
+    def test_abandoned_just_before(self):
+        """A request is moved for its late first token, and the server crashes 40 ms later."""
         assert self.suspects((RunEnd.BROKE, 60.0)) == 1
 
-    def test_left_long_before(self):
+    def test_abandoned_long_before(self):
         assert self.suspects((RunEnd.BROKE, 60.0), at=2_000.0) == 0
 
     def test_answered_or_refused(self):
-        """What was answered whole is no cause, and what a server refused it has not run."""
+        """A complete answer rules a request out, and a refused request never ran."""
         assert self.suspects((RunEnd.WHOLE, 60.0), (RunEnd.NOT_RUN, 60.0)) == 0
 
-    def test_body_is_not_read_without_a_crash(self):
-        """A body may have megabytes, and nothing is wrong on most days."""
+    def test_body_is_not_hashed_without_a_crash(self):
+        """Bodies may have megabytes, so they are not hashed while there are no crashes."""
         one = watch([])
         subject = Subject("acme", "x", b"body")
         one.ended(one.began(subject, [("s0", 1)], 0.0), RunEnd.WHOLE, 50.0)
@@ -192,8 +192,8 @@
         assert "fingerprint" not in vars(subject)
 
 
-class TestNewcomers:
-    """A VM that starts, or is back, is told what matters and no more."""
+class TestStateTransfer:
+    """A VM that starts or returns is sent what it needs and no more."""
 
     def after_crashes(self):
         one = watch([])
@@ -207,22 +207,22 @@
         one.ended(one.began(SOUND, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
         return one
 
-    def test_told_by_a_control_vm(self):
+    def test_entry_vm_learns_from_control_vm(self):
         newcomer = watch([])
         for news in self.after_crashes().all_news(4_000.0):
             newcomer.hear(news, 50.0)
         assert isinstance(newcomer.judge(DEADLY, 60.0), Quarantined)
         assert newcomer.judge(SOUND, 60.0) == Clear()
 
-    def test_control_vm_that_has_forgotten(self):
-        """All control VMs were restarted; entry VMs tell them what they have seen themselves."""
+    def test_control_vm_that_lost_its_state(self):
+        """After a restart of all control VMs, entry VMs send them what they observed themselves."""
         control = watch([])
         for news in self.after_crashes().own_news(4_000.0):
             control.hear(news, 50.0)
         assert isinstance(control.judge(DEADLY, 60.0), Quarantined)
         assert control.judge(SOUND, 60.0) == Clear()
 
-    def test_nothing_where_all_are_cleared(self):
+    def test_nothing_if_all_are_cleared(self):
         one = watch([])
         run = one.began(SOUND, [("s0", 1)], 0.0)
         one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
