--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -1,30 +1,36 @@
-"""Tests of what an entry VM knows of backend servers."""
+"""Tests of an entry VM's directory of backend servers."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from siskinspoke.bench.slopes import announcement
-from siskinspoke.coordination.directory import RECALLED_MS, UNDATED, Directory, Heard, start_of
+from siskinspoke.coordination.directory import (
+    RESTORED_LEASE_MS,
+    UNDATED,
+    Directory,
+    Heard,
+    start_of,
+)
 from siskinspoke.protocol.announcements import load_of
 
 LEASE = 3_000
 
 
 def said(seq, incarnation=7, leaving=False):
-    """Return an announcement of one server."""
+    """Return an announcement of the same server."""
     return announcement(1, seq, "sala-a")._replace(incarnation=incarnation, leaving=leaving)
 
 
 def named(server):
-    """Return a first announcement of a server."""
+    """Return the first announcement of a server."""
     return said(1)._replace(server=server)
 
 
 class TestOrder:
-    """Announcements overtake each other on their way."""
+    """Announcements may arrive out of order."""
 
     def test_leaving_is_final_for_an_incarnation(self):
-        """A server says farewell; an announcement from before, and one from after, come late."""
+        """Announcements from before and after a server left must not bring it back."""
         directory = Directory(LEASE)
         directory.hear(said(5), 0)
         assert directory.hear(said(6, leaving=True), 1) is Heard.LEFT
@@ -33,8 +39,12 @@
         assert directory.live(4) == []
         assert directory.hear(said(1, incarnation=8), 5) is Heard.JOINED
 
-    def test_leaving_server_goes_on_speaking(self):
-        """A server that had said that it leaves was forgotten after a minute, and joined anew."""
+    def test_leaving_server_keeps_announcing(self):
+        """A server that left but still announces itself must not rejoin after a minute.
+
+        Its record was dropped after that time, so that its next announcement was taken for a new
+        server's.
+        """
         directory = Directory(LEASE)
         directory.hear(said(1), 0)
         directory.retire(*start_of(said(1)))
@@ -46,7 +56,7 @@
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.permutations([said(1), said(2), said(3), said(4, leaving=True)]))
-    def test_any_order_ends_the_same(self, items):
+    def test_any_order_gives_the_same_result(self, items):
         directory = Directory(LEASE)
         for item in items:
             directory.hear(item, 0)
@@ -60,38 +70,38 @@
 
 
 class TestStarts:
-    """A server starts again under its name: its numbers begin anew, and it knows nothing."""
+    """A server restarts under its name: its sequence numbers start over and its state is lost."""
 
-    def test_lower_number_of_a_later_start_counts(self):
-        """The caller's requests would miss a healthy server until its numbers pass the old ones."""
+    def test_lower_number_of_a_later_incarnation_counts(self):
+        """Otherwise a healthy server gets no requests until its numbers pass the old ones."""
         directory = Directory(LEASE)
         directory.hear(said(90, incarnation=7), 0)
         assert directory.hear(said(1, incarnation=8), 10) is Heard.JOINED
         assert directory.latest(said(1).server).start == (said(1).server, 8)
         assert len(directory.live(LEASE + 5)) == 1
 
-    def test_start_after_a_deregistration(self):
-        """A deregistration goes after all words of its start, but not after the next start's."""
+    def test_restart_after_a_deregistration(self):
+        """A deregistration overrides all announcements of its incarnation, but no later one."""
         directory = Directory(LEASE)
         directory.hear(said(2**60, incarnation=7, leaving=True), 0)
         assert directory.hear(said(1, incarnation=8), 10) is Heard.JOINED
         assert len(directory.live(11)) == 1
 
-    def test_late_words_of_the_former_start_change_nothing(self):
+    def test_late_announcements_of_the_previous_incarnation_are_stale(self):
         directory = Directory(LEASE)
         directory.hear(said(1, incarnation=8), 0)
         assert directory.hear(said(91, incarnation=7), 1) is Heard.STALE
         assert directory.hear(said(2**60, incarnation=7, leaving=True), 2) is Heard.STALE
         assert len(directory.live(3)) == 1
 
-    def test_leave_of_the_later_start_counts(self):
+    def test_leaving_of_the_later_incarnation_counts(self):
         directory = Directory(LEASE)
         directory.hear(said(90, incarnation=7), 0)
         assert directory.hear(said(2**60, incarnation=8, leaving=True), 1) is Heard.LEFT
         assert directory.live(2) == []
 
-    def test_proof_and_retirement_belong_to_one_start(self):
-        """An answer of the former process comes while the new one is known already."""
+    def test_answer_and_leaving_apply_to_one_incarnation(self):
+        """An answer of the previous process arrives after the new one has announced itself."""
         directory = Directory(LEASE)
         directory.hear(said(90, incarnation=7), 0)
         directory.hear(said(1, incarnation=8), 1)
@@ -100,15 +110,15 @@
         assert len(directory.live(2)) == 1
         assert directory.live(LEASE + 2) == []
 
-    def test_recalled_later_start_replaces_the_former(self):
+    def test_restored_later_incarnation_replaces_the_previous(self):
         directory = Directory(LEASE)
         directory.hear(said(90, incarnation=7), 0)
         assert directory.remember(said(3, incarnation=8), 1)
         assert not directory.remember(said(95, incarnation=7), 2)
         assert directory.latest(said(1).server).announcement.incarnation == 8
 
-    def test_undated_server_among_dated_ones_gets_nothing(self):
-        """Another program announces a server of our service and does not say when it started."""
+    def test_server_without_start_time_among_others_gets_nothing(self):
+        """A foreign program announces itself for the service without a start time."""
         directory = Directory(LEASE)
         stranger = announcement(2, 1, "sala-a")._replace(incarnation=UNDATED)
         directory.hear(stranger, 0)
@@ -119,8 +129,8 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
-    def test_vms_that_hear_in_any_order_agree(self, data):
-        """Three VMs hear the words of three starts late and doubled, then tell each other."""
+    def test_vms_agree_after_any_order(self, data):
+        """VMs that receive delayed and duplicate announcements agree after exchanging records."""
         words = [
             said(seq, incarnation=start, leaving=start < 9 and seq == 3)
             for start in (7, 8, 9)
@@ -150,7 +160,7 @@
 class TestLease:
     """An announcement is a lease."""
 
-    def test_silent_server_is_gone(self):
+    def test_lease_expires(self):
         directory = Directory(LEASE)
         directory.hear(said(1), 0)
         assert len(directory.live(LEASE - 1)) == 1
@@ -167,7 +177,7 @@
 
 
 class TestLoads:
-    """Only what changes is passed on."""
+    """Load updates contain only the fields that change."""
 
     def test_load_renews_a_known_server(self):
         directory = Directory(LEASE)
@@ -176,7 +186,7 @@
         assert directory.hear_load(load_of(later, 0), 1) is Heard.RENEWED
         assert directory.live(2)[0].announcement.free_tokens == 5
 
-    def test_load_of_an_unknown_server_or_start_asks_for_the_rest(self):
+    def test_load_of_an_unknown_server_or_incarnation(self):
         directory = Directory(LEASE)
         assert directory.hear_load(load_of(said(1), 0), 0) is Heard.UNKNOWN
         directory.hear(said(1), 0)
@@ -190,39 +200,39 @@
 
 
 class TestRecalled:
-    """A VM takes up servers that it knew before its restart, for a short time."""
+    """After a restart a VM uses the servers it knew before for a short time."""
 
-    def test_counts_until_it_should_have_spoken(self):
+    def test_expires_unless_renewed(self):
         directory = Directory(LEASE)
         assert directory.remember(said(5), 0)
-        assert [item.announcement.seq for item in directory.live(RECALLED_MS - 1)] == [5]
-        assert directory.live(RECALLED_MS + 1) == []
+        assert [item.announcement.seq for item in directory.live(RESTORED_LEASE_MS - 1)] == [5]
+        assert directory.live(RESTORED_LEASE_MS + 1) == []
 
-    def test_its_own_word_counts_in_full(self):
+    def test_own_announcement_gives_a_full_lease(self):
         directory = Directory(LEASE)
         directory.remember(said(5), 0)
         assert directory.hear(said(6), 100) is Heard.JOINED
-        assert len(directory.live(RECALLED_MS + 100)) == 1
+        assert len(directory.live(RESTORED_LEASE_MS + 100)) == 1
 
-    def test_a_leave_is_not_undone(self):
-        """A server has left; a control VM that did not hear of it recalls it as well."""
+    def test_leaving_is_not_undone(self):
+        """A server has left, but a control VM that missed this restores it from its storage."""
         directory = Directory(LEASE)
         directory.hear(said(6, leaving=True), 0)
         assert not directory.remember(said(5), 1)
         assert directory.live(2) == []
 
-    def test_a_leave_is_heard(self):
+    def test_leaving_is_applied(self):
         directory = Directory(LEASE)
         directory.remember(said(5), 0)
         assert directory.hear(said(6, leaving=True), 1) is Heard.LEFT
         assert directory.live(2) == []
 
 
-class TestLapsedServers:
-    """A server that crashed is looked at until its lease has run out, and no longer."""
+class TestExpiredLeases:
+    """A crashed server is probed until its lease has expired, and no longer."""
 
-    def test_lapsed_server_is_not_believed_beside_a_live_one(self):
-        """Each VM of a large fleet would go on connecting to a dead server twice a second."""
+    def test_expired_server_is_not_used_beside_a_live_one(self):
+        """Otherwise each VM of a large fleet keeps connecting to a dead server twice a second."""
         directory = Directory(1_000)
         directory.hear(named("crashed"), 0)
         directory.hear(named("well"), 1_500)
@@ -230,14 +240,14 @@
         assert directory.is_believed(well, 2_000)
         assert not directory.is_believed(crashed, 2_000)
 
-    def test_cut_off_vm_believes_in_what_it_remembers(self):
-        """A VM that hears no announcements any more goes on with what it knows."""
+    def test_cut_off_vm_uses_expired_servers(self):
+        """A VM that no longer receives announcements keeps using the servers it knows."""
         directory = Directory(1_000)
         directory.hear(named("known"), 0)
         assert directory.is_believed(directory.latest("known"), 5_000)
         assert directory.believed_among(["known", "other"], 5_000) == [directory.latest("known")]
 
-    def test_live_servers_go_before_remembered_ones(self):
+    def test_live_servers_are_preferred_to_expired_ones(self):
         directory = Directory(1_000)
         directory.hear(named("crashed"), 0)
         directory.hear(named("well"), 1_500)
