--- a/siskinspoke/coordination/domains.py
+++ b/siskinspoke/coordination/domains.py
@@ -1,74 +1,76 @@
-"""Whether whole failure domains are cut off from this VM, by its own connections.
+"""Detects failure domains that cannot be reached from this VM, from its own connections.
 
-Without this each request would try the servers of a cut-off domain one after the other, each
-for the time that a connection may take, and find out anew what the last one has found.
+Without this, each request would try the servers of an unreachable domain one after the other and
+wait for the connection timeout of each.
 """
 
 from dataclasses import dataclass, field
 
-# So many different servers of a domain out of reach, and none reached since, mean a cut.
-SERVERS_FOR_A_CUT = 2
-# Failures are compared within this time: about ten connection timeouts.  Milliseconds.
-WINDOW_MS = 2_500.0
-# A cut is believed for this long after the last failure; probes renew or end the belief.
-BELIEF_MS = 3_000.0
+# This many different servers of a domain that cannot be reached, and none reached since, mean that
+# the domain is cut off.
+MIN_UNREACHABLE_SERVERS = 2
+# Failures further apart than this are not related; about ten connection timeouts.
+FAILURE_WINDOW_MS = 2_500.0
+# A domain counts as cut off until this long after the last failure; probes extend or end this.
+PARTITION_TTL_MS = 3_000.0
 
 
 @dataclass(slots=True)
 class _Domain:
-    failed: dict[str, float] = field(default_factory=dict)
-    cut_since: float | None = None
+    failed_at: dict[str, float] = field(default_factory=dict)
+    partitioned_since: float | None = None
 
 
 class Domains:
-    """Remember who could not be reached, by failure domain; times are in milliseconds.
+    """Tracks unreachable servers by failure domain; times are in milliseconds.
 
-    VMs of one domain tell each other what they believe: with 23 of them, and a second between
-    two requests of each, every VM found out by two requests of its own, 0.2 s late each.
+    VMs of the same domain share what they find. Otherwise, with 23 VMs that have a second between
+    two requests each, every VM needs two requests of its own to detect it, each 0.2 s late.
     """
 
     def __init__(self) -> None:
         self._domains: dict[str, _Domain] = {}
 
     def reached(self, domain: str) -> bool:
-        """Note a connection to a server of a domain; return whether that ends a cut."""
-        known = self._domains.pop(domain, None)
-        return known is not None and known.cut_since is not None
+        """Record a connection to a server of a domain; return whether that ends a partition."""
+        record = self._domains.pop(domain, None)
+        return record is not None and record.partitioned_since is not None
 
     def unreached(self, domain: str, server: str, now: float) -> bool:
-        """Note a connection that did not come about; return whether that shows a new cut."""
-        known = self._domains.setdefault(domain, _Domain())
-        known.failed[server] = now
-        recent = [name for name, at in known.failed.items() if now - at < WINDOW_MS]
-        if known.cut_since is not None or len(recent) < SERVERS_FOR_A_CUT:
+        """Record a failed connection; return whether the domain is newly considered cut off."""
+        record = self._domains.setdefault(domain, _Domain())
+        record.failed_at[server] = now
+        recently_failed = [
+            name for name, at in record.failed_at.items() if now - at < FAILURE_WINDOW_MS
+        ]
+        if record.partitioned_since is not None or len(recently_failed) < MIN_UNREACHABLE_SERVERS:
             return False
-        known.cut_since = now
+        record.partitioned_since = now
         return True
 
     def told(self, domain: str, vm: str, now: float) -> bool:
-        """Note that another VM of this one's domain believes in a cut; return whether it is new.
+        """Record that another VM of this domain reports a partition; return whether it is new.
 
-        One VM's word is worth as much as one server that could not be reached: that VM alone may
-        be cut off.
+        The report of one VM counts as one unreachable server, since only that VM may be cut off.
         """
         return self.unreached(domain, f"told by {vm}", now)
 
     def refused(self, domain: str, now: float) -> bool:
-        """Note that several servers of a domain refuse together; return whether the cut is new."""
-        known = self._domains.setdefault(domain, _Domain())
-        known.failed["refused"] = now
-        if known.cut_since is not None:
+        """Record that several servers of a domain refuse at once; return whether that is new."""
+        record = self._domains.setdefault(domain, _Domain())
+        record.failed_at["refused"] = now
+        if record.partitioned_since is not None:
             return False
-        known.cut_since = now
+        record.partitioned_since = now
         return True
 
     def is_cut(self, domain: str, now: float) -> bool:
-        """Tell whether a domain is believed to be out of reach."""
-        known = self._domains.get(domain)
-        if known is None or known.cut_since is None:
+        """Return whether a domain is considered unreachable."""
+        record = self._domains.get(domain)
+        if record is None or record.partitioned_since is None:
             return False
-        return now - max(known.failed.values()) < BELIEF_MS
+        return now - max(record.failed_at.values()) < PARTITION_TTL_MS
 
     def cut_now(self, now: float) -> list[str]:
-        """Return the domains that are believed to be out of reach."""
+        """Return the domains that are considered unreachable."""
         return [name for name in self._domains if self.is_cut(name, now)]
--- a/siskinspoke/coordination/fingerprints.py
+++ b/siskinspoke/coordination/fingerprints.py
@@ -1,7 +1,7 @@
-"""Tell whether two requests are the same, whoever of the VMs has them.
+"""Identifies equal requests across VMs.
 
-A caller that asks again has another request id each time, and may ask any VM.  What stays the
-same is the customer, the target and the body.
+A caller that retries uses a new request id each time and may send to any VM. The customer, the
+target and the body stay the same.
 """
 
 import hashlib
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Subject:
-    """What makes two requests the same."""
+    """The parts of a request that decide whether it equals another one."""
 
     customer: str
     target: str
@@ -24,15 +24,15 @@
 
     @cached_property
     def shape(self) -> str:
-        """Return what equal requests share, without reading the body."""
+        """Return a hash that equal requests share, computed without reading the body."""
         parts = f"{self.customer}\0{self.target}\0{len(self.body)}"
         return xxhash.xxh64_hexdigest(parts.encode())
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what only equal requests share, after their shape; it reads the whole body.
+        """Return the shape plus a digest that only equal requests share; reads the whole body.
 
-        The hash is a cryptographic one: nobody can make up a request that is taken for another.
+        The digest is cryptographic, so a request cannot be forged to be taken for another one.
         """
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         for part in (self.customer.encode(), self.target.encode()):
@@ -43,5 +43,5 @@
 
 
 def shape_of(fingerprint: str) -> str:
-    """Return the shape of the requests that have a fingerprint."""
+    """Return the shape of the requests with a given fingerprint."""
     return fingerprint[:SHAPE_DIGITS]
--- a/tests/coordination/test_fingerprints.py
+++ b/tests/coordination/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Tests of how a request is known again."""
+"""Tests of request fingerprints."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 
 
 class TestSubject:
-    """Customer, target and body make two requests the same, and nothing else does."""
+    """Only customer, target and body decide whether two requests are equal."""
 
     def test_same_request(self):
         again = Subject("acme", "shop.example/stream/x", b"a prompt")
@@ -24,14 +24,14 @@
         ]
         assert ONE.fingerprint not in {item.fingerprint for item in others}
 
-    def test_parts_do_not_run_into_each_other(self):
-        """A customer could otherwise have another one's request taken for its own."""
+    def test_parts_are_delimited(self):
+        """Otherwise a customer could have another one's request taken for its own."""
         one = Subject("ab", "c", b"d")
         assert one.fingerprint != Subject("a", "bc", b"d").fingerprint
         assert one.fingerprint != Subject("ab", "", b"cd").fingerprint
 
     def test_shape_does_not_read_the_body(self):
-        """Bodies reach megabytes, and every request is compared while something is suspected."""
+        """Bodies may have megabytes, and every request is compared while there are suspects."""
         assert replace(ONE, body=b"A PROMPT").shape == ONE.shape
         assert replace(ONE, body=b"a prompt!").shape != ONE.shape
 
