--- a/siskinspoke/coordination/__init__.py
+++ b/siskinspoke/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without I/O: membership, routing, limits, retries, claims and replication."""
+"""Coordination logic without I/O: membership, routing, limits, retries, claims and replication."""
--- a/siskinspoke/coordination/known_entries.py
+++ b/siskinspoke/coordination/known_entries.py
@@ -1,57 +1,57 @@
-"""Which entry VMs belong to the fleet, as one control VM knows: who follows it, or lately did.
+"""The entry VMs that follow one control VM, or recently did.
 
-Answers the load pattern of a loss of all VMs: what has waited is let go by all entry VMs at once,
-and each of them must know from its first moment whom to tell of the work that it begins.
-Times are in seconds.
+After a loss of all VMs, all entry VMs admit the waiting requests at the same time, so each of them
+must know from its start which other entry VMs to tell about the work that it begins. Times are in
+seconds.
 """
 
 from siskinspoke.protocol.feed import EntryPeer
 
-# An entry VM that was lost is named for so long: one that is started again is back by then.
-LOST_SECONDS = 3.0
-# It is remembered on the disk for longer, so that a second loss of all finds it again.
-KEPT_SECONDS = 60.0
+# A lost entry VM is still announced for this long; one that is restarted is back by then.
+LOST_ENTRY_ANNOUNCE_SECONDS = 3.0
+# It is stored on disk for longer, so that it is found again after a second loss of all VMs.
+LOST_ENTRY_STORE_SECONDS = 60.0
 
 
 class KnownEntries:
-    """The entry VMs that follow, and those that did a short time ago."""
+    """The entry VMs that are connected, and those that recently were."""
 
     def __init__(self) -> None:
         self._following: dict[EntryPeer, int] = {}
         self._left_at: dict[EntryPeer, float] = {}
 
     def recall(self, entries: list[EntryPeer], now: float) -> None:
-        """Take in who followed before this VM's restart."""
+        """Restore the entry VMs that were connected before this VM restarted."""
         self._left_at |= dict.fromkeys(entries, now)
 
     def joined(self, entry: EntryPeer) -> None:
-        """Note that an entry VM follows; it may do so by two connections for a moment."""
+        """Record a connection of an entry VM; it may briefly have two."""
         self._following[entry] = self._following.get(entry, 0) + 1
         self._left_at.pop(entry, None)
 
     def left(self, entry: EntryPeer, now: float) -> None:
-        """Note that one of an entry VM's connections has ended."""
+        """Record that one of an entry VM's connections has ended."""
         self._following[entry] -= 1
         if not self._following[entry]:
             del self._following[entry]
             self._left_at[entry] = now
 
     def follows(self, entry: EntryPeer) -> bool:
-        """Tell whether an entry VM follows now."""
+        """Return whether an entry VM is connected."""
         return entry in self._following
 
     def named(self, now: float) -> set[EntryPeer]:
-        """Return whom the others are told of."""
-        return self._following.keys() | self._lost_since(now, LOST_SECONDS)
+        """Return the entry VMs to announce to the others."""
+        return self._following.keys() | self._lost_since(now, LOST_ENTRY_ANNOUNCE_SECONDS)
 
     def kept(self, now: float) -> set[EntryPeer]:
-        """Return who is kept on the disk."""
-        return self._following.keys() | self._lost_since(now, KEPT_SECONDS)
+        """Return the entry VMs to store on disk."""
+        return self._following.keys() | self._lost_since(now, LOST_ENTRY_STORE_SECONDS)
 
     def _lost_since(self, now: float, seconds: float) -> set[EntryPeer]:
         return {entry for entry, at in self._left_at.items() if now - at < seconds}
 
     def forget(self, now: float) -> None:
-        """Drop who has been lost for too long to matter."""
-        for entry in self._left_at.keys() - self._lost_since(now, KEPT_SECONDS):
+        """Drop entry VMs that were lost too long ago."""
+        for entry in self._left_at.keys() - self._lost_since(now, LOST_ENTRY_STORE_SECONDS):
             del self._left_at[entry]
--- a/siskinspoke/coordination/witnesses.py
+++ b/siskinspoke/coordination/witnesses.py
@@ -1,10 +1,10 @@
-"""Tell a server that crashed from a failure domain that is cut off.
+"""Distinguishes a crashed server from a failure domain that is cut off.
 
-A firewall before a failure domain may reset the connections that cross it and refuse new ones, and
-a rack that loses its power does the same while its machines start.  To one VM each server there
-looks like a dead process: it ended the connection and now refuses.  What tells the two apart is
-the others of the domain.  Where one of them takes connections, the server alone has crashed.
-Answers load pattern: all servers of a failure domain end and refuse in the same moment.
+A firewall in front of a failure domain may reset the connections that cross it and refuse new ones,
+and so does a rack that loses power while its machines boot. To one VM each server there looks like
+a crashed process: it closed the connection and now refuses. The other servers of the domain, its
+witnesses, tell the two apart: if one of them accepts connections, only the server itself has
+crashed. Otherwise all servers of a failure domain that fail together would be recorded as crashed.
 """
 
 import random
@@ -13,18 +13,18 @@
 from siskinspoke.coordination.crashes import Start
 from siskinspoke.coordination.directory import ServerRecord
 
-# So many others of the failure domain are asked.  That both of them have just crashed as well is
-# unlikely; where it happens, others are asked again.
-WITNESSES = 2
-# Where nobody can tell, the question is asked again after this time, so many times: the evidence is
-# late then, but not lost.  Seconds.
+# The number of other servers of the failure domain that are probed. It is unlikely that both have
+# just crashed as well; if they have, other witnesses are probed later.
+WITNESS_COUNT = 2
+# If the witnesses are inconclusive, the check is repeated after this time, at most this many times.
+# The crash evidence is then delayed, but not lost.
 ASK_AGAIN_SECONDS = 0.25
 ASK_AGAIN = 4
 
 
 def choose_witnesses(others: Sequence[str], rng: random.Random) -> list[str]:
-    """Return who is asked among the other servers of a failure domain."""
-    return rng.sample(others, min(WITNESSES, len(others)))
+    """Return a random sample of the other servers of a failure domain."""
+    return rng.sample(others, min(WITNESS_COUNT, len(others)))
 
 
 def witnesses_of(
@@ -34,7 +34,7 @@
     has_crashed: Callable[[Start], bool],
     rng: random.Random,
 ) -> list[ServerRecord]:
-    """Return who is asked about a server: some of its domain, but none known to have crashed."""
+    """Return the witnesses for a server: some live ones of its domain not known to have crashed."""
     others = {
         record.announcement.server: record
         for record in live
@@ -46,9 +46,8 @@
 
 
 def speaks_for_cut(reached: Sequence[bool]) -> bool:
-    """Tell whether a refusal is the domain's rather than the server's, by who was reached.
+    """Return whether the domain, rather than the server, is unreachable, given the probe results.
 
-    A server that is the only one of its domain has no witness, and has crashed as far as anybody
-    can tell.
+    A server that is alone in its domain has no witness, so it counts as crashed.
     """
     return bool(reached) and not any(reached)
--- a/tests/coordination/test_known_entries.py
+++ b/tests/coordination/test_known_entries.py
@@ -1,42 +1,47 @@
-"""Tests of which entry VMs a control VM names to the others."""
+"""Tests of which entry VMs a control VM announces to the others."""
 
-from siskinspoke.coordination.known_entries import KEPT_SECONDS, LOST_SECONDS, KnownEntries
+from siskinspoke.coordination.known_entries import (
+    LOST_ENTRY_ANNOUNCE_SECONDS,
+    LOST_ENTRY_STORE_SECONDS,
+    KnownEntries,
+)
 from siskinspoke.protocol.feed import EntryPeer
 
 ONE, TWO = EntryPeer("10.0.0.1", 9, "a"), EntryPeer("10.0.0.2", 9, "b")
 
 
 class TestKnownEntries:
-    """Who follows, who lately did, and who is forgotten."""
+    """Which entry VMs are announced, stored and dropped."""
 
-    def test_all_are_named_from_the_first_moment(self):
-        """After a loss of all each follower was told of those alone that had come before it.
+    def test_restored_entries_are_announced_at_once(self):
+        """After a loss of all VMs, each entry VM must learn of those that reconnect after it.
 
-        For half a second most entry VMs chose engines without hearing of each other's work.
+        Each was told only of those before it, so for half a second most entry VMs placed work
+        without knowing of each other's.
         """
         known = KnownEntries()
         known.recall([ONE, TWO], 0.0)
         known.joined(ONE)
         assert known.named(0.1) == {ONE, TWO}
 
-    def test_who_is_not_back_is_named_no_more(self):
+    def test_lost_entry_is_no_longer_announced(self):
         known = KnownEntries()
         known.recall([ONE, TWO], 0.0)
         known.joined(ONE)
-        assert known.named(LOST_SECONDS) == {ONE}
-        assert known.kept(LOST_SECONDS) == {ONE, TWO}
+        assert known.named(LOST_ENTRY_ANNOUNCE_SECONDS) == {ONE}
+        assert known.kept(LOST_ENTRY_ANNOUNCE_SECONDS) == {ONE, TWO}
 
-    def test_kept_over_a_second_loss(self):
-        """Entry VMs are lost first, and the control VMs some seconds later."""
+    def test_stored_over_a_second_loss(self):
+        """Entry VMs are lost first, and the control VMs a few seconds later."""
         known = KnownEntries()
         known.joined(ONE)
         known.left(ONE, 10.0)
-        assert known.kept(10.0 + KEPT_SECONDS / 2) == {ONE}
-        known.forget(10.0 + KEPT_SECONDS)
-        assert known.kept(10.0 + KEPT_SECONDS) == set()
+        assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS / 2) == {ONE}
+        known.forget(10.0 + LOST_ENTRY_STORE_SECONDS)
+        assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS) == set()
 
-    def test_two_connections_for_a_moment(self):
-        """A new connection comes before the end of the old one is noticed."""
+    def test_overlapping_connections(self):
+        """A new connection is opened before the end of the old one is detected."""
         known = KnownEntries()
         known.joined(ONE)
         known.joined(ONE)
