--- a/tests/coordination/test_limiters.py
+++ b/tests/coordination/test_limiters.py
@@ -1,17 +1,17 @@
-"""The VMs that grant permits for a limited server."""
+"""Tests of the VMs that grant permits for rate-limited servers."""
 
 import pytest
 
 from siskinspoke.coordination.limiters import (
-    FIRST_BURST,
-    LEAST_RATE,
-    MOST_LIMITERS,
+    BACKUP_BURST,
+    BACKUP_MAX_WAIT_MS,
+    BACKUP_RATE_SHARE,
+    MAX_LIMITERS,
+    MIN_RATE,
     PERMIT_MS,
-    QUIET_MS,
-    SPARE_BURST,
-    SPARE_SHARE,
-    SPARE_WAIT_MS,
-    STILL_MS,
+    PRIMARY_BURST,
+    STALL_MS,
+    STARTUP_QUIET_MS,
     TAKE_OVER_MS,
     Ask,
     Limiter,
@@ -23,12 +23,12 @@
 
 
 def ask(host: str = "a", rate: float = 1.0, silent_ms: float = 0.0, patience_ms: float = 0) -> Ask:
-    """Return a question for a permit."""
+    """Return a query for a permit."""
     return Ask(host, START, rate, patience_ms, silent_ms)
 
 
 def granted(limiter: Limiter, seconds: float, rate: float, place: int = 0, **more) -> int:
-    """Return how many permits a limiter grants to a VM that asks a hundred times a second."""
+    """Return how many permits a limiter grants to a VM that asks 100 times a second."""
     count = 0
     for turn in range(int(seconds * 100)):
         now = 20_000 + turn * 10
@@ -38,7 +38,7 @@
 
 
 def running() -> Limiter:
-    """Return a limiter that has run for 20 s."""
+    """Return a limiter that has been running for 20 s."""
     limiter = Limiter(0)
     for second in range(21):
         limiter.tick(second * 1_000)
@@ -49,18 +49,18 @@
 
 
 class TestLimitersOf:
-    """Who may grant permits for a server."""
+    """Which VMs may grant permits for a server."""
 
-    def test_few_and_of_the_servers_domain(self):
+    def test_limited_number_from_the_servers_domain(self):
         found = limiters_of("i-1", "a", VMS)
-        assert len(found) == MOST_LIMITERS
+        assert len(found) == MAX_LIMITERS
         assert {VMS[host] for host in found} == {"a"}
 
-    def test_others_where_the_domain_has_none(self):
-        assert len(limiters_of("i-1", "c", VMS)) == MOST_LIMITERS
+    def test_other_domains_as_fallback(self):
+        assert len(limiters_of("i-1", "c", VMS)) == MAX_LIMITERS
         assert limiters_of("i-1", "a", {"10.0.1": "b"}) == ("10.0.1",)
 
-    def test_all_vms_draw_the_same(self):
+    def test_all_vms_choose_the_same(self):
         backwards = dict(reversed(VMS.items()))
         assert limiters_of("i-1", "a", VMS) == limiters_of("i-1", "a", backwards)
 
@@ -70,15 +70,15 @@
 
 
 class TestSum:
-    """What all limiters of a server may grant together."""
+    """The total that all limiters of a server may grant."""
 
     @pytest.mark.parametrize("rate", [0.0, 0.5, 1.0, 10.0, 1_000.0])
-    def test_within_the_promise(self, rate):
-        """In any 4 s a server gets one and a half times its limit and five requests at most."""
-        spares = MOST_LIMITERS - 1
+    def test_within_the_bound(self, rate):
+        """In any 4 s a server gets at most 1.5 times its limit plus five requests."""
+        spares = MAX_LIMITERS - 1
         seconds = 4.0 + PERMIT_MS / 1000
-        rates = (1 + spares * SPARE_SHARE) * max(LEAST_RATE, rate) * seconds
-        assert rates + FIRST_BURST + spares * SPARE_BURST <= 1.5 * 4.0 * rate + 5
+        rates = (1 + spares * BACKUP_RATE_SHARE) * max(MIN_RATE, rate) * seconds
+        assert rates + PRIMARY_BURST + spares * BACKUP_BURST <= 1.5 * 4.0 * rate + 5
 
 
 class TestLimiter:
@@ -88,16 +88,16 @@
     def test_first_grants_the_whole_rate(self, rate):
         assert rate * 20 <= granted(running(), 20, rate) <= rate * 20 + 2
 
-    def test_spare_grants_a_small_share(self):
+    def test_backup_grants_a_small_share(self):
         assert granted(running(), 20, 10.0, place=1) <= 10.0 * 0.15 * 20 + 1
 
-    def test_spare_is_asked_again_soon(self):
-        """VMs waited for seconds for a spare's next token after the first limiter was back."""
+    def test_backup_is_asked_again_soon(self):
+        """VMs must not wait seconds for a backup limiter's token once the first one is back."""
         limiter = running()
         limiter.decide(ask(), 1, True, 20_000)
-        assert limiter.decide(ask(), 1, True, 20_000) == (Outcome.LATER, SPARE_WAIT_MS)
+        assert limiter.decide(ask(), 1, True, 20_000) == (Outcome.LATER, BACKUP_MAX_WAIT_MS)
 
-    def test_spare_takes_over_from_silent_limiters(self):
+    def test_backup_takes_over_from_silent_limiters(self):
         count = granted(running(), 20, 10.0, place=1, silent_ms=TAKE_OVER_MS)
         assert count >= 200
 
@@ -111,27 +111,27 @@
         ]
         assert outcomes.count(Outcome.GRANTED) <= 10.0 * 0.15 * 20 + 1
 
-    def test_vm_that_is_no_limiter_grants_nothing(self):
+    def test_other_vm_grants_nothing(self):
         assert running().decide(ask(), None, True, 20_000).outcome is Outcome.ELSEWHERE
 
-    def test_limit_of_zero_is_asked_for_again(self):
-        """A server that names a limit of zero would be left out for good."""
+    def test_limit_of_zero_still_grants_some(self):
+        """A server with a limit of zero must not be excluded permanently."""
         assert 1 <= granted(running(), 40, 0.0) <= 6
 
-    def test_started_anew(self):
-        """A limiter that started anew granted its burst again."""
+    def test_restart(self):
+        """A restarted limiter must not grant its burst again."""
         limiter = Limiter(0)
-        assert limiter.decide(ask(), 0, True, QUIET_MS / 2).outcome is Outcome.ELSEWHERE
-        assert limiter.decide(ask(), 0, True, QUIET_MS + 1).outcome is Outcome.LATER
+        assert limiter.decide(ask(), 0, True, STARTUP_QUIET_MS / 2).outcome is Outcome.ELSEWHERE
+        assert limiter.decide(ask(), 0, True, STARTUP_QUIET_MS + 1).outcome is Outcome.LATER
 
-    def test_stood_still(self):
-        """A limiter thawed and granted at once, while another had taken its place."""
+    def test_stall(self):
+        """A limiter that resumes after a stall grants nothing: another may have taken over."""
         limiter = running()
         assert limiter.decide(ask(), 0, True, 20_000).outcome is Outcome.GRANTED
-        thawed = 20_000 + STILL_MS + 1
+        thawed = 20_000 + STALL_MS + 1
         assert limiter.decide(ask(), 0, True, thawed).outcome is Outcome.ELSEWHERE
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_has_retry_time(self):
         limiter = running()
         for _ in range(2):
             limiter.decide(ask(), 0, True, 20_000)
@@ -140,7 +140,7 @@
         assert limiter.decide(ask(patience_ms=1_000), 0, True, 20_000).wait_ms == 1_000
 
     @pytest.mark.parametrize("vms", [7, 24, 420])
-    def test_questions_do_not_grow_with_the_fleet(self, vms):
+    def test_queries_do_not_grow_with_the_fleet(self, vms):
         limiter = running()
         asks_at = dict.fromkeys(range(vms), 20_000.0)
         asked = 0
@@ -154,7 +154,7 @@
                 limiter.tick(now)
         assert asked / 20 <= 30
 
-    def test_forgotten_with_its_server(self):
+    def test_dropped_with_its_server(self):
         limiter = running()
         limiter.decide(ask(), 0, True, 20_000)
         limiter.forget(["i-2"])
--- a/tests/coordination/test_token_bucket.py
+++ b/tests/coordination/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets whose tokens may be taken ahead."""
+"""Tests of token buckets whose tokens may be taken in advance."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 
 class TestTokenBucket:
-    """What is used in any time keeps to the burst and the rate."""
+    """Usage in any time span stays within the burst plus the rate."""
 
     def test_burst_then_rate(self):
         bucket = TokenBucket(2.0, 0)
@@ -16,17 +16,17 @@
         assert bucket.take(1.0, 2.0, 400) == (False, 600)
         assert bucket.take(1.0, 2.0, 1_000).granted
 
-    def test_token_taken_ahead_is_used_when_it_comes(self):
+    def test_token_taken_in_advance(self):
         bucket = TokenBucket(1.0, 0)
         bucket.take(2.0, 1.0, 0)
         assert bucket.take(2.0, 1.0, 0, patience_ms=500) == (True, 500)
         assert bucket.take(2.0, 1.0, 0, patience_ms=500) == (False, 1_000)
 
-    def test_clock_that_steps_back_gives_nothing(self):
+    def test_backward_clock_step_grants_nothing(self):
         bucket = TokenBucket(0.0, 1_000)
         assert not bucket.take(1.0, 1.0, 0).granted
 
-    def test_any_window_keeps_to_the_bound(self):
+    def test_bound_holds_in_any_window(self):
         rng = random.Random(1)
         for _ in range(50):
             rate, burst = rng.uniform(0.1, 20), rng.uniform(1, 3)
