--- a/siskinspoke/coordination/liveness.py
+++ b/siskinspoke/coordination/liveness.py
@@ -1,62 +1,62 @@
-"""When an awaited answer is overdue, and which servers are worth a look because of it.
+"""Decides when an answer is overdue and which servers to probe because of it.
 
-A server that has lost its power, or that a cut has parted from this VM, says nothing: each
-request there waits until its own patience ends, a second or more, and so does each request of
-each other VM.  A look is a new connection, which a sound server's machine accepts within some
-milliseconds however busy the server is, so it tells the two apart within a twentieth of a second.
+A server that has lost power, or is cut off from this VM, sends nothing: each request there waits
+for its own timeout, a second or more, at every VM. A probe is a new connection, which a healthy
+server's machine accepts within a few milliseconds however busy the server is, so it tells the two
+apart within 50 ms.
 """
 
 import math
 from dataclasses import dataclass
 
-# A first token is overdue at the time at which it was expected: then there is time for another try.
-LEAST_FIRST_MS = 60.0
-# An event is overdue after so many passes of its engine, and at least after this time: passes
-# take 50 ms with short prompts alone, and twice that when a long one is read beside them.
-PASSES_DUE = 1.7
-LEAST_EVENT_MS = 90.0
-# A whole answer is overdue after so many times what is usual at its service.
-USUAL_DUE = 2.0
-LEAST_WHOLE_MS = 80.0
-# A look, or a connection for a request, that came about proves a server sound for so long: those
-# that several requests ask for at once are one.
-REACHED_MS = 50.0
-# One answer that is overdue causes a look this often.
+# A first token is overdue at the time at which it was expected, which leaves time for a retry.
+MIN_FIRST_TOKEN_TIMEOUT_MS = 60.0
+# An event is overdue after this many passes of its engine, and not before the minimum: a pass takes
+# 50 ms with short prompts alone, and twice that if a long prompt is prefilled alongside.
+EVENT_TIMEOUT_PASSES = 1.7
+MIN_EVENT_TIMEOUT_MS = 90.0
+# A whole answer is overdue after this multiple of the usual time of its service.
+ANSWER_TIMEOUT_FACTOR = 2.0
+MIN_ANSWER_TIMEOUT_MS = 80.0
+# A successful probe, or a connection for a request, proves a server alive for this long. Probes
+# that several requests ask for at the same time are thus merged into one.
+PROBE_SUCCESS_TTL_MS = 50.0
+# Interval at which one overdue answer triggers further probes.
 OVERDUE_AGAIN_MS = 250.0
-# One that could not be is looked at again after this time, until it can be.
-UNREACHED_MS = 500.0
-
-# A connection within a site takes 3 to 5 ms; a lost opening packet is sent again after a second.
-LEAST_CONNECT_MS = 50.0
-MOST_CONNECT_MS = 200.0
-# Gains of the mean and of the mean deviation, and deviations beyond the mean, as TCP has them for
-# its retransmissions, but for twice as many deviations: to give up wrongly costs a whole prompt.
+# A server that could not be reached is probed again after this time, until it can be reached.
+PROBE_RETRY_MS = 500.0
+
+# A connection within a site takes 3 to 5 ms; a lost SYN is retransmitted after one second.
+MIN_CONNECT_TIMEOUT_MS = 50.0
+MAX_CONNECT_TIMEOUT_MS = 200.0
+# Smoothing factors as in TCP's retransmission timer (RFC 6298), with twice as many deviations,
+# since a false timeout costs the prefill of a whole prompt.
 MEAN_GAIN = 1 / 8
 DEVIATION_GAIN = 1 / 4
-DEVIATIONS = 8.0
+DEVIATION_FACTOR = 8.0
 
 
 def first_due_ms(expected_ms: float) -> float:
-    """Return how long after its sending a first token is overdue."""
-    return max(LEAST_FIRST_MS, expected_ms)
+    """Return how long after sending a first token is overdue."""
+    return max(MIN_FIRST_TOKEN_TIMEOUT_MS, expected_ms)
 
 
 def event_due_ms(pass_ms: float) -> float:
-    """Return how long after an event the next one is overdue; a pass writes one."""
-    return max(LEAST_EVENT_MS, PASSES_DUE * pass_ms)
+    """Return how long after an event the next one is overdue; each pass produces one event."""
+    return max(MIN_EVENT_TIMEOUT_MS, EVENT_TIMEOUT_PASSES * pass_ms)
 
 
 def whole_due_ms(usual_ms: float) -> float:
-    """Return how long after its sending a whole answer is overdue."""
-    return max(LEAST_WHOLE_MS, USUAL_DUE * usual_ms)
+    """Return how long after sending a whole answer is overdue."""
+    return max(MIN_ANSWER_TIMEOUT_MS, ANSWER_TIMEOUT_FACTOR * usual_ms)
 
 
 class ConnectTimer:
-    """Learn how long connections take, and from when on one will not come; in milliseconds.
+    """Adaptive connection timeout, in milliseconds.
 
-    On links that are slow or full an opening packet waits behind what is being sent, 80 ms behind
-    one configuration at 10 Mbit/s, and sound servers would be taken for lost.  The time is the mean
-    and a multiple of the mean deviation, as for a retransmission.
+    On slow or congested links a SYN waits behind other traffic, 80 ms behind one configuration at
+    10 Mbit/s, and a fixed timeout would take healthy servers for lost. The timeout is the mean plus
+    a multiple of the mean deviation, as in TCP's retransmission timer.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self._deviation = 0.0
 
     def took(self, ms: float) -> None:
-        """Note how long a connection has taken."""
+        """Record how long a connection took."""
         if self._mean is None:
             self._mean, self._deviation = ms, ms / 2
             return
@@ -74,65 +74,65 @@
 
     @property
     def give_up_ms(self) -> float:
-        """Return how long a connection is waited for."""
+        """Return the connection timeout."""
         if self._mean is None:
-            return MOST_CONNECT_MS
-        wanted = self._mean + DEVIATIONS * self._deviation
-        return min(MOST_CONNECT_MS, max(LEAST_CONNECT_MS, wanted))
+            return MAX_CONNECT_TIMEOUT_MS
+        timeout_ms = self._mean + DEVIATION_FACTOR * self._deviation
+        return min(MAX_CONNECT_TIMEOUT_MS, max(MIN_CONNECT_TIMEOUT_MS, timeout_ms))
 
 
-# While no server was found lost for a time, what is overdue is waited for so many times as long.
-# Where all servers are well nearly all first tokens come within this time, and a look costs a
-# connection.  Losses come several at a time: the first is found a little later for this, and those
-# beside it as soon as before.
-CALM_PATIENCE = 1.7
-ALARM_MS = 10_000.0
+# While no server has been found lost recently, timeouts are multiplied by this factor. If all
+# servers are healthy, nearly all first tokens arrive within that time, and a probe costs a
+# connection. Servers tend to be lost several at a time: the first is detected slightly later
+# because of the factor, the others without delay.
+NORMAL_TIMEOUT_FACTOR = 1.7
+LOSS_ALERT_MS = 10_000.0
 
 
 @dataclass(slots=True)
-class _Look:
+class _Probe:
     at: float
-    under_way: bool = True
+    in_progress: bool = True
     reached: bool = True
 
 
 class Looks:
-    """Remember who was looked at, by server and start; times are in milliseconds."""
+    """Tracks probes by server and incarnation; times are in milliseconds."""
 
     def __init__(self) -> None:
-        self._looks: dict[tuple[str, int], _Look] = {}
-        self._alarmed_at = -math.inf
+        self._probes: dict[tuple[str, int], _Probe] = {}
+        self._last_loss_at = -math.inf
 
     def alarm(self, now: float) -> None:
-        """Note that a server was found lost, by this VM or another one."""
-        self._alarmed_at = now
+        """Record that a server was found lost, by this VM or another one."""
+        self._last_loss_at = now
 
     def patience(self, now: float) -> float:
-        """Return how many times the time in which an answer is due to wait for it."""
-        return 1.0 if now - self._alarmed_at < ALARM_MS else CALM_PATIENCE
+        """Return the factor to apply to the time after which an answer is overdue."""
+        return 1.0 if now - self._last_loss_at < LOSS_ALERT_MS else NORMAL_TIMEOUT_FACTOR
 
     def wanted(self, start: tuple[str, int], now: float) -> bool:
-        """Tell whether a look at a server would teach anything now."""
-        look = self._looks.get(start)
-        if look is None:
+        """Return whether probing a server now would give new information."""
+        probe = self._probes.get(start)
+        if probe is None:
             return True
-        wait = REACHED_MS if look.reached else UNREACHED_MS
-        return not look.under_way and now - look.at >= wait
+        wait = PROBE_SUCCESS_TTL_MS if probe.reached else PROBE_RETRY_MS
+        return not probe.in_progress and now - probe.at >= wait
 
     def began(self, start: tuple[str, int], now: float) -> None:
-        """Note that a look is under way."""
-        self._looks[start] = _Look(now)
+        """Record that a probe has started."""
+        self._probes[start] = _Probe(now)
 
     def ended(self, start: tuple[str, int], reached: bool, now: float) -> None:
-        """Note what a look has shown."""
-        self._looks[start] = _Look(now, under_way=False, reached=reached)
+        """Record the result of a probe."""
+        self._probes[start] = _Probe(now, in_progress=False, reached=reached)
 
     def drop(self, start: tuple[str, int]) -> None:
-        """Forget a look that was broken off."""
-        self._looks.pop(start, None)
+        """Forget a probe that was cancelled."""
+        self._probes.pop(start, None)
 
     def forget(self, now: float) -> None:
-        """Drop looks that are too old to matter."""
-        for start, look in list(self._looks.items()):
-            if not look.under_way and now - look.at > UNREACHED_MS:
-                del self._looks[start]
+        """Drop expired probes."""
+        for start, probe in list(self._probes.items()):
+            if not probe.in_progress and now - probe.at > PROBE_RETRY_MS:
+                del self._probes[start]
