--- a/siskinspoke/coordination/standing.py
+++ b/siskinspoke/coordination/standing.py
@@ -1,29 +1,31 @@
-"""How backend servers have stood up to this VM's own requests; who is set aside for a while.
+"""Tracks the health of backend servers from this VM's own requests and ejects failing ones.
 
-A server's word on its own health proves nothing: it may fail every request while it says that
-it is well, or the reverse.  So only what became of requests counts.  How many may be set aside
-is bounded: if most fail, the fault is probably elsewhere, and the last ones would be overrun.
+A server's own health report proves nothing: it may fail every request while reporting that it is
+healthy, or the reverse. So only the outcome of requests counts. The number of ejected servers is
+limited: if most of them fail, the cause is probably elsewhere, and the remaining ones would be
+overloaded.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
 
-# A server that cannot be reached is tried again after this time, doubled at each failure.
-FIRST_ASIDE_MS = 600.0
-MOST_ASIDE_MS = 5_000.0
-# Weight of the latest outcome in the share of failures; four failures in a row make it 0.76.
-FAILURE_GAIN = 0.3
-ASIDE_FROM = 0.5
-# At most this share of a service's servers is set aside.
-MOST_ASIDE_SHARE = 0.5
-LATENCY_GAIN = 0.25
-# A latency is believed for this long; then the server is worth another look.
-LATENCY_MS = 4_000.0
+# First ejection time after a connection failure, timeout or run of errors; it doubles with each
+# further failure.
+BASE_EJECTION_MS = 600.0
+MAX_EJECTION_MS = 5_000.0
+# Weight of the latest outcome in the moving average of failures; four failures in a row give 0.76.
+FAILURE_EWMA_WEIGHT = 0.3
+EJECTION_FAILURE_SHARE = 0.5
+# At most this share of a service's servers is ejected.
+MAX_EJECTED_SHARE = 0.5
+LATENCY_EWMA_WEIGHT = 0.25
+# A latency is used for this long; after that the server gets a request to measure it again.
+LATENCY_TTL_MS = 4_000.0
 
 
 class Trouble(Enum):
-    """What became of a request that did not end well."""
+    """How a request failed."""
 
     UNREACHABLE = "unreachable"
     SILENT = "silent"
@@ -35,9 +37,9 @@
 
 @dataclass(slots=True)
 class _Record:
-    failures: float = 0.0
-    in_a_row: int = 0
-    aside_until: float = 0.0
+    failure_ewma: float = 0.0
+    consecutive_failures: int = 0
+    ejected_until: float = 0.0
     latency_ms: float | None = None
     latency_at: float = 0.0
     open_requests: int = 0
@@ -45,139 +47,139 @@
 
 
 class Standing:
-    """Remember outcomes by server; times are in milliseconds."""
+    """Request outcomes by server; times are in milliseconds."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def _record(self, server: str) -> _Record:
-        found = self._records.get(server)
-        if found is None:
-            found = self._records[server] = _Record()
-        return found
+        record = self._records.get(server)
+        if record is None:
+            record = self._records[server] = _Record()
+        return record
 
     def began(self, server: str) -> None:
-        """Count a request that is open at a server."""
+        """Count a request that was started at a server."""
         self._record(server).open_requests += 1
 
     def ended(self, server: str) -> None:
-        """Count a request that has ended there, however it ended."""
+        """Count a request that has ended, whatever its outcome."""
         self._record(server).open_requests -= 1
 
     def succeeded(self, server: str, latency_ms: float | None, now: float) -> None:
-        """Note an answer, and how long it took where that can be compared."""
+        """Record an answer, with its latency if that is comparable between requests."""
         record = self._record(server)
-        record.in_a_row = 0
+        record.consecutive_failures = 0
         record.unreachable = False
-        record.failures -= FAILURE_GAIN * record.failures
-        if record.failures < ASIDE_FROM:
-            record.aside_until = min(record.aside_until, now)
+        record.failure_ewma -= FAILURE_EWMA_WEIGHT * record.failure_ewma
+        if record.failure_ewma < EJECTION_FAILURE_SHARE:
+            record.ejected_until = min(record.ejected_until, now)
         if latency_ms is None:
             return
-        if record.latency_ms is None or now - record.latency_at > LATENCY_MS:
+        if record.latency_ms is None or now - record.latency_at > LATENCY_TTL_MS:
             record.latency_ms = latency_ms
         else:
-            record.latency_ms += LATENCY_GAIN * (latency_ms - record.latency_ms)
+            record.latency_ms += LATENCY_EWMA_WEIGHT * (latency_ms - record.latency_ms)
         record.latency_at = now
 
     def failed(self, server: str, trouble: Trouble, now: float) -> None:
-        """Note a failure and set the server aside if it is the kind or the share for that."""
+        """Record a failure, and eject the server if its kind or the failure rate calls for it."""
         record = self._record(server)
         match trouble:
             case Trouble.HELD:
-                # This VM has sent it nothing.
+                # This VM has not sent it the request.
                 return
             case Trouble.BUSY:
-                record.aside_until = max(record.aside_until, now + FIRST_ASIDE_MS / 4)
+                record.ejected_until = max(record.ejected_until, now + BASE_EJECTION_MS / 4)
                 return
             case Trouble.UNREACHABLE:
-                # It says nothing of how the server does once it can be reached.
-                record.in_a_row += 1
+                # Does not show how the server performs once it can be reached.
+                record.consecutive_failures += 1
                 record.unreachable = True
             case Trouble.SILENT:
-                record.in_a_row += 1
-                record.failures += FAILURE_GAIN * (1 - record.failures)
+                record.consecutive_failures += 1
+                record.failure_ewma += FAILURE_EWMA_WEIGHT * (1 - record.failure_ewma)
             case Trouble.BROKEN | Trouble.ERROR:
-                record.failures += FAILURE_GAIN * (1 - record.failures)
-                record.in_a_row += record.failures >= ASIDE_FROM
-        if record.in_a_row:
-            doubled = FIRST_ASIDE_MS * 2 ** min(record.in_a_row - 1, 4)
-            record.aside_until = now + min(MOST_ASIDE_MS, doubled)
+                record.failure_ewma += FAILURE_EWMA_WEIGHT * (1 - record.failure_ewma)
+                record.consecutive_failures += record.failure_ewma >= EJECTION_FAILURE_SHARE
+        if record.consecutive_failures:
+            ejection_ms = BASE_EJECTION_MS * 2 ** min(record.consecutive_failures - 1, 4)
+            record.ejected_until = now + min(MAX_EJECTION_MS, ejection_ms)
 
     def started(self, server: str) -> None:
-        """Forget how a server stood up before it started anew, but not what is still open."""
-        known = self._records.get(server)
-        if known is not None:
-            self._records[server] = _Record(open_requests=known.open_requests)
+        """Reset the statistics of a server that has restarted, except for its open requests."""
+        record = self._records.get(server)
+        if record is not None:
+            self._records[server] = _Record(open_requests=record.open_requests)
 
     def reached(self, server: str) -> bool:
-        """Note that a connection to a server came about; return whether that is news.
+        """Record a successful connection; return whether the server was unreachable before.
 
-        It ends what an earlier one that did not come about has begun, and nothing else: a server
-        that fails requests takes connections as well.
+        This ends an ejection only if it was caused by a failed connection, since a server that
+        fails requests still accepts connections.
         """
         record = self._records.get(server)
         if record is None or not record.unreachable:
             return False
         record.unreachable = False
-        record.in_a_row = 0
-        record.aside_until = 0.0
+        record.consecutive_failures = 0
+        record.ejected_until = 0.0
         return True
 
     def is_unreachable(self, server: str) -> bool:
-        """Tell whether the last connection to a server did not come about."""
+        """Return whether the last connection to a server failed."""
         record = self._records.get(server)
         return record is not None and record.unreachable
 
     def unreachable(self) -> list[str]:
-        """Return the servers whose last connection did not come about."""
+        """Return the servers to which the last connection failed."""
         return [name for name, record in self._records.items() if record.unreachable]
 
     def is_aside(self, server: str, now: float) -> bool:
-        """Tell whether a server is set aside; one that cannot be reached is until it can be."""
+        """Return whether a server is ejected; an unreachable one is until it can be reached."""
         record = self._records.get(server)
-        return record is not None and (record.unreachable or record.aside_until > now)
+        return record is not None and (record.unreachable or record.ejected_until > now)
 
     def failure_share(self, server: str) -> float:
-        """Return the recent share of failures of a server."""
+        """Return the moving average of a server's failures."""
         record = self._records.get(server)
-        return 0.0 if record is None else record.failures
+        return 0.0 if record is None else record.failure_ewma
 
     def usable(self, servers: Iterable[str], now: float) -> list[str]:
-        """Return the servers that are not set aside, and some of those if too many were."""
+        """Return the servers that are not ejected, readmitting some if too many are."""
         names = list(servers)
-        good = [name for name in names if not self.is_aside(name, now)]
-        least = len(names) - int(len(names) * MOST_ASIDE_SHARE)
-        if len(good) >= least:
-            return good
-        aside = [name for name in names if name not in good]
-        aside.sort(key=lambda name: self._records[name].aside_until)
-        return good + aside[: least - len(good)]
+        available = [name for name in names if not self.is_aside(name, now)]
+        min_available = len(names) - int(len(names) * MAX_EJECTED_SHARE)
+        if len(available) >= min_available:
+            return available
+        ejected = [name for name in names if name not in available]
+        ejected.sort(key=lambda name: self._records[name].ejected_until)
+        return available + ejected[: min_available - len(available)]
 
     def load_ms(self, server: str, now: float, usual_ms: float) -> float:
-        """Return the time that a request would take at a server, by its latency and queue."""
+        """Return the expected time of a request at a server, from its latency and queue."""
         record = self._records.get(server)
         if record is None:
             return usual_ms
         latency = record.latency_ms
-        if latency is None or now - record.latency_at > LATENCY_MS:
+        if latency is None or now - record.latency_at > LATENCY_TTL_MS:
             latency = usual_ms
-        return latency * (1 + 0.5 * record.open_requests) * (1 + 4 * record.failures)
+        return latency * (1 + 0.5 * record.open_requests) * (1 + 4 * record.failure_ewma)
 
     def usual_ms(self, servers: Iterable[str], now: float) -> float:
-        """Return the middle latency of some servers, for those that have none of their own."""
-        known = sorted(
+        """Return the median latency of some servers, as a default for those without one."""
+        latencies = sorted(
             record.latency_ms
             for name in servers
             if (record := self._records.get(name)) is not None
             and record.latency_ms is not None
-            and now - record.latency_at <= LATENCY_MS
+            and now - record.latency_at <= LATENCY_TTL_MS
         )
-        return known[len(known) // 2] if known else 50.0
+        return latencies[len(latencies) // 2] if latencies else 50.0
 
     def forget(self, servers: Iterable[str]) -> None:
-        """Keep the records of these servers only."""
-        known = set(servers)
+        """Drop the records of servers not in ``servers`` unless they have open requests."""
+        kept = set(servers)
         for name in list(self._records):
-            if name not in known and not self._records[name].open_requests:
+            if name not in kept and not self._records[name].open_requests:
                 del self._records[name]
--- a/tests/coordination/test_standing.py
+++ b/tests/coordination/test_standing.py
@@ -1,15 +1,15 @@
-"""Tests of who is set aside for how they stood up to requests, and of the common budget."""
+"""Tests of the ejection of failing servers, and of the shared retry budget."""
 
 import pytest
 
 from siskinspoke.coordination.retries import CommonBudget
-from siskinspoke.coordination.standing import MOST_ASIDE_MS, Standing, Trouble
+from siskinspoke.coordination.standing import MAX_EJECTION_MS, Standing, Trouble
 
 
-class TestAside:
-    """Only outcomes count, and not everybody is set aside."""
+class TestEjection:
+    """Only outcomes count, and never are all servers ejected."""
 
-    def test_silent_at_once_and_for_longer_each_time(self):
+    def test_timeout_ejects_at_once_and_longer_each_time(self):
         standing = Standing()
         standing.failed("a", Trouble.SILENT, 0.0)
         assert standing.usable(["a", "b"], 1.0) == ["b"]
@@ -17,48 +17,48 @@
         standing.failed("a", Trouble.SILENT, 700.0)
         assert standing.usable(["a", "b"], 1_500.0) == ["b"]
 
-    def test_unreachable_until_it_can_be_reached(self):
-        """Requests are not what finds out whether a lost server is back."""
+    def test_unreachable_until_reached(self):
+        """Whether a lost server is back is detected by probes, not by requests."""
         standing = Standing()
         standing.failed("a", Trouble.UNREACHABLE, 0.0)
         assert standing.usable(["a", "b"], 60_000.0) == ["b"]
         assert standing.reached("a")
         assert standing.usable(["a", "b"], 60_001.0) == ["a", "b"]
 
-    def test_a_connection_mends_nothing_else(self):
-        """A server takes connections and fails the requests on them."""
+    def test_connection_does_not_end_other_ejections(self):
+        """A server accepts connections but fails the requests on them."""
         standing = Standing()
         standing.failed("a", Trouble.SILENT, 0.0)
         assert not standing.reached("a")
         assert standing.is_aside("a", 1.0)
 
-    def test_one_error_is_borne(self):
+    def test_one_error_does_not_eject(self):
         standing = Standing()
         standing.failed("a", Trouble.ERROR, 0.0)
         assert not standing.is_aside("a", 1.0)
 
-    def test_a_server_that_fails_most_is_set_aside(self):
-        """A server answers its health check and fails four requests of ten."""
+    def test_frequent_errors_eject(self):
+        """A server passes its health check but fails four requests in ten."""
         standing = Standing()
         for at in range(4):
             standing.failed("a", Trouble.ERROR, float(at))
         assert standing.is_aside("a", 5.0)
 
-    def test_at_most_half_are_set_aside(self):
-        """All servers fail because of a fault elsewhere; the last must not carry all alone."""
+    def test_at_most_half_are_ejected(self):
+        """All servers fail because of a fault elsewhere; the last must not take the whole load."""
         standing = Standing()
         names = list("abcd")
         for name in names:
             standing.failed(name, Trouble.UNREACHABLE, 0.0)
         assert len(standing.usable(names, 1.0)) == 2
 
-    def test_never_for_long(self):
+    def test_maximum_ejection_time(self):
         standing = Standing()
         for _ in range(20):
             standing.failed("a", Trouble.SILENT, 0.0)
-        assert not standing.is_aside("a", MOST_ASIDE_MS + 1)
+        assert not standing.is_aside("a", MAX_EJECTION_MS + 1)
 
-    def test_success_brings_back(self):
+    def test_success_ends_the_ejection(self):
         standing = Standing()
         standing.failed("a", Trouble.UNREACHABLE, 0.0)
         standing.succeeded("a", 50.0, 1.0)
@@ -66,7 +66,7 @@
 
 
 class TestLoad:
-    """Slow and busy servers look longer."""
+    """The expected time is longer at slow and busy servers."""
 
     def test_slow_server_costs_more(self):
         standing = Standing()
@@ -74,7 +74,7 @@
         standing.succeeded("fast", 80.0, 0.0)
         assert standing.load_ms("slow", 1.0, 80.0) > standing.load_ms("fast", 1.0, 80.0)
 
-    def test_an_old_latency_is_worth_another_look(self):
+    def test_old_latency_is_ignored(self):
         standing = Standing()
         standing.succeeded("slow", 400.0, 0.0)
         assert standing.load_ms("slow", 60_000.0, 80.0) == 80.0
@@ -86,7 +86,7 @@
 
 
 class TestCommonBudget:
-    """All VMs together repeat at most a share of requests and a burst."""
+    """All VMs together retry at most a share of requests plus a burst."""
 
     @pytest.mark.parametrize("vms", [1, 7, 68])
     def test_the_burst_is_shared(self, vms):
@@ -105,14 +105,14 @@
             taken += budget.take("s", 0.0)
         assert taken <= 200
 
-    def test_one_vm_may_use_more_than_an_equal_part(self):
-        """All servers that one of 68 VMs talks to are cut off; the others repeat nothing."""
+    def test_one_vm_may_use_more_than_an_equal_share(self):
+        """All servers that one of 68 VMs uses are cut off, and the other VMs retry nothing."""
         budget = CommonBudget(0.2, 212)
         budget.set_vms(68, 68)
         assert sum(budget.take("s", 0.0) for _ in range(50)) >= 6
 
-    def test_all_together_keep_to_the_whole(self):
-        """Every VM repeats whatever it can, and hears the others 0.2 s late."""
+    def test_all_vms_stay_within_the_budget(self):
+        """Every VM retries as much as it can, and hears from the others 0.2 s late."""
         budgets = [CommonBudget(0.2, 212) for _ in range(68)]
         for budget in budgets:
             budget.set_vms(68, 68)
@@ -133,8 +133,8 @@
                             budget.heard(calls, now + 199)
         assert repeats <= 0.2 * requests + 212
 
-    def test_two_sides_of_a_cut_keep_to_the_whole(self):
-        """A third of the VMs is cut off; each side hears its own."""
+    def test_both_sides_of_a_partition_stay_within_the_budget(self):
+        """A third of the VMs is cut off; each side hears only its own members."""
         taken = 0
         for size in (23, 45):
             budgets = [CommonBudget(0.2, 212) for _ in range(size)]
