--- a/siskinspoke/core/__init__.py
+++ b/siskinspoke/core/__init__.py
@@ -1,4 +1,4 @@
-"""Pieces that every layer uses: result codes, checks, counters and logs."""
+"""Components that every layer uses: result codes, checks, counters and logs."""
 
 from siskinspoke.core.codes import Failure, ResultCode, Run
 
--- a/siskinspoke/core/channels.py
+++ b/siskinspoke/core/channels.py
@@ -8,7 +8,7 @@
 
 
 def receive_queued(channel: trio.MemoryReceiveChannel[T], limit: float) -> list[T]:
-    """Return the items that are queued in a channel, at most ``limit``, without waiting."""
+    """Return at most ``limit`` items that are queued in a channel, without waiting."""
     items: list[T] = []
     while len(items) < limit:
         try:
--- a/siskinspoke/core/checks.py
+++ b/siskinspoke/core/checks.py
@@ -1,11 +1,11 @@
-"""A registry of system checks that look at settings before anything uses them."""
+"""A registry of system checks that validate settings before they are used."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
 
 class Fault(NamedTuple):
-    """One thing that is wrong: where, what, and what to do about it."""
+    """A problem found by a check: its location, description and remedy."""
 
     id: str
     path: str
@@ -14,8 +14,8 @@
     file: str = ""
 
     def __str__(self) -> str:
-        where = f"{self.file}: {self.path}" if self.file else self.path
-        return f"{where}: ({self.id}) {self.message}\n    HINT: {self.hint}"
+        location = f"{self.file}: {self.path}" if self.file else self.path
+        return f"{location}: ({self.id}) {self.message}\n    HINT: {self.hint}"
 
 
 Check = Callable[[dict], Iterable[Fault]]
@@ -24,11 +24,11 @@
 
 
 def register(check: Check) -> Check:
-    """Add a check to those that run over a merged settings document."""
+    """Register a check to be run on a merged settings document."""
     _registry.append(check)
     return check
 
 
 def run_checks(document: dict) -> list[Fault]:
-    """Return the faults that all registered checks find in a well-typed document."""
+    """Return the faults that the registered checks find in a document whose types are valid."""
     return [fault for check in _registry for fault in check(document)]
--- a/siskinspoke/core/codes.py
+++ b/siskinspoke/core/codes.py
@@ -1,8 +1,8 @@
-"""Numbered result codes, what each says about the request, and the typed failure.
+"""Numbered result codes, what each implies about the request, and the typed failure.
 
-The thousands digit is the class: 1 bad input, 2 refused for now, 3 the request's fate,
-4 configuration and control, 5 durable state, 6 command line.  ``docs/reference/codes.md``
-holds the same table and a test compares the two.
+The thousands digit is the class: 1 invalid input, 2 temporarily refused, 3 execution of the
+request, 4 configuration and control, 5 durable state, 6 command line. A test checks that
+``docs/reference/codes.md`` contains the same table.
 """
 
 from enum import Enum, IntEnum
@@ -10,7 +10,7 @@
 
 
 class Run(Enum):
-    """What a result says about whether the request ran."""
+    """Whether a request ran, as far as its result tells."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -18,7 +18,7 @@
 
 
 class ResultCode(IntEnum):
-    """Every result a process of the system may give."""
+    """All results that a process of the system can return."""
 
     OK = 0
     NOT_JSON = 1001
@@ -69,7 +69,7 @@
 
 
 class CodeFacts(NamedTuple):
-    """HTTP status, meaning for the request, and the process exit code of a result."""
+    """The HTTP status, execution state, process exit code and meaning of a result code."""
 
     status: int
     run: Run
@@ -142,10 +142,10 @@
 
 
 class Failure(NamedTuple):
-    """A typed error: a result code, a message for people, and when to come back.
+    """A typed error: a result code, a human-readable message and a retry delay.
 
-    ``retry_after_ms`` is None where coming back is of no use.  ``run`` overrides what the
-    code says about the request where more is known.
+    ``retry_after_ms`` is None if a retry is pointless. ``run`` overrides the default execution
+    state of the code if more is known.
     """
 
     code: ResultCode
@@ -155,11 +155,11 @@
 
     @property
     def fate(self) -> Run:
-        """Return what is known about whether the request ran."""
+        """Return whether the request ran, as far as is known."""
         return self.run or FACTS[self.code].run
 
     def to_document(self) -> dict:
-        """Return the JSON body a caller receives."""
+        """Return the JSON body sent to the caller."""
         return {
             "error": {
                 "code": int(self.code),
@@ -172,7 +172,7 @@
 
 
 class FailureError(Exception):
-    """Carry a Failure through code that cannot return a Result."""
+    """Wraps a Failure for code that cannot return a Result."""
 
     def __init__(self, failure: Failure):
         super().__init__(f"{failure.code.name}: {failure.message}")
--- a/siskinspoke/core/counters.py
+++ b/siskinspoke/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters and gauges, kept in the process and sent to statsd."""
+"""Counters and gauges, kept in the process and optionally sent to statsd."""
 
 from collections import Counter
 from typing import Protocol
@@ -7,7 +7,7 @@
 
 
 class Sink(Protocol):
-    """What receives counters beside the process itself."""
+    """A receiver of counters and gauges, such as a statsd client."""
 
     def incr(self, stat: str, count: int = 1) -> None: ...
 
@@ -15,7 +15,7 @@
 
 
 class Counters:
-    """Count events by name; the totals are what ``status`` prints."""
+    """Counters and gauges by name; the ``status`` command prints the totals."""
 
     def __init__(self, sink: Sink | None = None):
         self._sink = sink
@@ -24,7 +24,7 @@
 
     @property
     def totals(self) -> dict[str, int]:
-        """Return the count of each event since the process started."""
+        """Return all counters, counted since the process started."""
         return dict(self._totals)
 
     @property
@@ -33,23 +33,21 @@
         return dict(self._gauges)
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
         self._totals[name] += amount
         if self._sink is not None:
             self._sink.incr(name, amount)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
         self._gauges[name] = value
         if self._sink is not None:
             self._sink.gauge(name, value)
 
 
 def counters_for(process: str, statsd_host: str, statsd_port: int) -> Counters:
-    """Return counters that go to statsd when a port is given.
+    """Return counters that are also sent to statsd if a port is given.
 
-    The host must be an address in numbers: the statsd client resolves names on a blocking
-    socket, which would stall every task of the process.
+    The host must be a numeric address: the statsd client resolves names on a blocking socket, which
+    would stall all tasks of the process.
     """
     if not statsd_port:
         return Counters()
--- a/siskinspoke/core/decisions.py
+++ b/siskinspoke/core/decisions.py
@@ -1,8 +1,8 @@
-"""The decision log: one JSON line for each decision on a request or change of belief.
+"""The decision log: one JSON line per decision on a request or per change of state.
 
-Lines leave through a thread of their own and a bounded queue.  A standard output that nobody
-reads would otherwise block the process; now lines are dropped, and the count of those dropped
-stands in the next line that leaves.
+A separate thread writes the lines from a bounded queue, since a standard output that is not read
+would otherwise block the process. When the queue is full, lines are dropped; the next line written
+contains the number dropped.
 """
 
 import queue
@@ -13,27 +13,27 @@
 
 import msgspec
 
-QUEUE_LINES = 2_000
+MAX_QUEUED_LINES = 2_000
 
 
 class DecisionLog:
-    """Write structured lines without ever waiting."""
+    """A structured log whose writes never block."""
 
     def __init__(self, process: str, out: TextIO = sys.stdout):
         self._process = process
         self._out = out
-        self._queue: queue.Queue[bytes | None] = queue.Queue(QUEUE_LINES)
+        self._queue: queue.Queue[bytes | None] = queue.Queue(MAX_QUEUED_LINES)
         self._dropped = 0
         self._thread = threading.Thread(target=self._write_forever, daemon=True)
         self._thread.start()
 
     @property
     def dropped(self) -> int:
-        """Return how many lines were dropped since the last that left."""
+        """Return the number of lines dropped since the last line was queued."""
         return self._dropped
 
     def note(self, event: str, **fields: Any) -> None:
-        """Write one line: the event and what decided it; times are in milliseconds."""
+        """Write an event with the data that explains it; times are in milliseconds."""
         line = {"at": round(time.time(), 3), "vm": self._process, "event": event, **fields}
         if self._dropped:
             line["dropped_before"] = self._dropped
@@ -51,11 +51,11 @@
                 if self._queue.empty():
                     self._out.flush()
             except (OSError, ValueError):
-                # Nobody reads the output any more, or it is closed at the end of the process;
-                # there is nowhere left to say so.
+                # The reader is gone, or the output was closed at process exit, so the error cannot
+                # be reported anywhere.
                 return
 
     def close(self) -> None:
-        """Let the lines that wait leave, for a bounded time."""
+        """Flush the queued lines, with a timeout."""
         self._queue.put(None)
         self._thread.join(timeout=1.0)
--- a/siskinspoke/core/exposition.py
+++ b/siskinspoke/core/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as text for a metrics collector."""
+"""Exposes counters and latency histograms in the Prometheus text format."""
 
 import re
 from collections.abc import Iterator
@@ -29,22 +29,22 @@
             yield CounterMetricFamily(_metric_name(name), f"Events: {name}", value=total)
         for name, value in self._counters.gauges.items():
             yield GaugeMetricFamily(_metric_name(name), f"Last value: {name}", value=value)
-        yield from map(_family, self._latencies.summaries())
+        yield from map(_summary_family, self._latencies.summaries())
 
 
-def _family(summary: Summary) -> Metric:
-    """Return one summary with its quantiles."""
+def _summary_family(summary: Summary) -> Metric:
+    """Return a summary with its quantiles as a metric."""
     family = SummaryMetricFamily(
         _metric_name(summary.name) + "_ms", f"Milliseconds: {summary.name}"
     )
     family.add_metric([], summary.count, summary.total_ms)
-    for share, value in summary.quantiles.items():
-        family.add_sample(family.name, {"quantile": str(share)}, value)
+    for quantile, value in summary.quantiles.items():
+        family.add_sample(family.name, {"quantile": str(quantile)}, value)
     return family
 
 
 def exposition(counters: Counters, latencies: Latencies) -> bytes:
-    """Return all counters, gauges and histograms as text."""
+    """Return all counters, gauges and histograms in the text format."""
     registry = CollectorRegistry()
     registry.register(_Collector(counters, latencies))
     return generate_latest(registry)
--- a/siskinspoke/core/logs.py
+++ b/siskinspoke/core/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line per change of state, on standard error."""
+"""Structured logs: one JSON line per state change, on standard error."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def _write(message) -> None:
-    """Write one record as a JSON line with the fields that operators search for."""
+    """Write a record as a JSON line with the fields that operators search for."""
     record = message.record
     line = {
         "time": record["time"].isoformat(timespec="milliseconds"),
@@ -22,7 +22,7 @@
 
 
 def configure_logs(process: str, level: str = "INFO") -> None:
-    """Send log lines as JSON to standard error, each naming its process."""
+    """Log to standard error as JSON lines that contain the process name."""
     logger.remove()
     logger.configure(extra={"process": process})
     logger.add(_write, level=level, backtrace=False, diagnose=False)
--- a/siskinspoke/core/supervise.py
+++ b/siskinspoke/core/supervise.py
@@ -1,4 +1,4 @@
-"""Keep a daemon's tasks running: a fault in one must not end the process, nor pass unseen."""
+"""Restarts a daemon's tasks: an exception in one must not end the process or go unnoticed."""
 
 import traceback
 from collections.abc import Awaitable, Callable
@@ -8,12 +8,12 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 
-PAUSE_SECONDS = 0.2
+RESTART_DELAY_SECONDS = 0.2
 TRACE_LINES = 6
 
 
 def note_fault(log: DecisionLog, counters: Counters, where: str, error: Exception) -> None:
-    """Write down a fault of our own."""
+    """Log an internal error."""
     counters.count("fault")
     trace = traceback.format_exception(error)
     log.note("fault", where=where, error=repr(error), trace="".join(trace[-TRACE_LINES:]))
@@ -22,11 +22,11 @@
 async def keep_running(
     log: DecisionLog, counters: Counters, task: Callable[..., Awaitable[None]], *args
 ) -> None:
-    """Run a task that should never end; begin it anew when a fault ends it."""
+    """Run a task that should never end, and restart it when it raises or returns."""
     while True:
         try:
             await task(*args)
         except Exception as error:
             name = getattr(task, "__qualname__", repr(task))
             note_fault(log, counters, name, error)
-        await trio.sleep(PAUSE_SECONDS)
+        await trio.sleep(RESTART_DELAY_SECONDS)
--- a/tests/core/test_docs.py
+++ b/tests/core/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that hold the docs against the code."""
+"""Tests that the documentation matches the code."""
 
 import re
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class TestCodesPage:
-    """docs/reference/codes.md is the table of the code."""
+    """docs/reference/codes.md contains the table of result codes."""
 
     def test_every_code_has_its_row(self):
         page = (ROOT / "docs/reference/codes.md").read_text()
@@ -24,19 +24,19 @@
 
 
 class TestCountersPage:
-    """docs/reference/counters.md names every counter."""
+    """docs/reference/counters.md lists every counter."""
 
-    def test_every_counter_is_named(self):
+    def test_every_counter_is_listed(self):
         page = (ROOT / "docs/reference/counters.md").read_text()
         for path in (ROOT / "siskinspoke").rglob("*.py"):
             for name in re.findall(r'(?:count|gauge)\(\s*f?"([a-z_.]+)', path.read_text()):
                 assert f"`{name}" in page, f"{name} of {path.name}"
 
 
-class TestNoTraces:
-    """The repo speaks of the product alone."""
+class TestNoLocalPaths:
+    """The repository contains no paths of a particular machine."""
 
-    def test_no_paths_of_a_machine(self):
+    def test_no_local_paths(self):
         for folder in ("siskinspoke", "docs", "scripts", "examples"):
             for path in (ROOT / folder).rglob("*"):
                 if path.is_file() and path.suffix != ".pyc":
@@ -46,9 +46,9 @@
 
 
 class TestSettingsPage:
-    """docs/reference/settings.md names every field."""
+    """docs/reference/settings.md lists every setting."""
 
-    def test_every_limit_is_named(self):
+    def test_every_setting_is_listed(self):
         page = (ROOT / "docs/reference/settings.md").read_text()
         for section, record in (("limits", LIMITS), ("entries[]", ENTRY), ("controls[]", CONTROL)):
             for name in record.fields:
