--- a/tests/coordination/test_crash_watch.py
+++ b/tests/coordination/test_crash_watch.py
@@ -9,13 +9,13 @@
 from tests.feeds.test_follower import Quiet
 
 DEADLY = Subject("acme", "shop.example/stream/x", b"what no engine survives")
-SOUND = Subject("acme", "shop.example/stream/x", b"what any engine answers")
+HARMLESS = Subject("acme", "shop.example/stream/x", b"what any engine answers")
 RAN_MS = 100.0
-LATE_MS = 3.0
-MOST_MESSAGES = 40
+DELIVERY_DELAY_MS = 3.0
+MAX_MESSAGES = 40
 
 
-def watch(told: list[CrashNews]) -> CrashWatch:
+def make_watch(told: list[CrashNews]) -> CrashWatch:
     """Return a VM's crash watch that appends its messages to a list."""
     return CrashWatch(told.append, Counters(), Quiet())
 
@@ -26,24 +26,26 @@
     def __init__(self, count: int):
         self.now = 1_000.0
         self.messages = 0
-        self._waiting: list[tuple[int, CrashNews]] = []
+        self._pending: list[tuple[int, CrashNews]] = []
         self.watches = [
-            CrashWatch(lambda news, number=number: self._say(number, news), Counters(), Quiet())
+            CrashWatch(
+                lambda news, number=number: self._broadcast(number, news), Counters(), Quiet()
+            )
             for number in range(count)
         ]
 
-    def _say(self, teller: int, news: CrashNews) -> None:
-        self._waiting += [(number, news) for number in range(len(self.watches)) if number != teller]
+    def _broadcast(self, teller: int, news: CrashNews) -> None:
+        self._pending += [(number, news) for number in range(len(self.watches)) if number != teller]
 
-    def settle(self) -> None:
+    def deliver(self) -> None:
         """Deliver messages until there are none left, up to a limit."""
-        while self._waiting and self.messages < MOST_MESSAGES * len(self.watches) ** 2:
-            number, news = self._waiting.pop(0)
+        while self._pending and self.messages < MAX_MESSAGES * len(self.watches) ** 2:
+            number, news = self._pending.pop(0)
             self.messages += 1
-            self.now += LATE_MS
+            self.now += DELIVERY_DELAY_MS
             fresh = self.watches[number].hear(news, self.now)
             if any(fresh):
-                self._say(number, fresh)
+                self._broadcast(number, fresh)
 
     def crash(self, number: int, name: str, subject: Subject, end: RunEnd = RunEnd.BROKE) -> None:
         """Have a server crash under a request of one VM."""
@@ -52,14 +54,14 @@
         self.now += RAN_MS
         self.watches[number].crashed(start, "m", 20, self.now, self.now)
         self.watches[number].ended(run, end, self.now)
-        self.settle()
+        self.deliver()
 
     def serve(self, number: int, subject: Subject) -> None:
         """Have a VM answer a request completely."""
         run = self.watches[number].began(subject, [("well", 1)], self.now)
         self.now += RAN_MS
         self.watches[number].ended(run, RunEnd.WHOLE, self.now)
-        self.settle()
+        self.deliver()
 
 
 class TestExchange:
@@ -79,18 +81,18 @@
         for number in range(3):
             start = (f"s{number}", 1)
             runs = [vms.watches[0].began(DEADLY, [start], vms.now)]
-            runs.append(vms.watches[1].began(SOUND, [start], vms.now))
+            runs.append(vms.watches[1].began(HARMLESS, [start], vms.now))
             vms.now += RAN_MS
             vms.watches[0].crashed(start, "m", 20, vms.now, vms.now)
-            vms.settle()
+            vms.deliver()
             for item, run in zip(vms.watches, runs, strict=False):
                 item.ended(run, RunEnd.BROKE, vms.now)
         assert all(isinstance(item.judge(DEADLY, vms.now), Suspected) for item in vms.watches)
-        vms.serve(2, SOUND)
+        vms.serve(2, HARMLESS)
         vms.now += 1_000.0
         for item in vms.watches:
             assert isinstance(item.judge(DEADLY, vms.now), Quarantined)
-            assert item.judge(SOUND, vms.now) == Clear()
+            assert item.judge(HARMLESS, vms.now) == Clear()
 
     def test_forwarding_of_answers_ends(self):
         """Forwarding a complete answer must end.
@@ -100,12 +102,12 @@
         minute and took three quarters of the CPU time.
         """
         vms = Vms(4)
-        vms.crash(0, "s0", SOUND)
-        vms.serve(1, SOUND)
-        assert vms.messages < MOST_MESSAGES
+        vms.crash(0, "s0", HARMLESS)
+        vms.serve(1, HARMLESS)
+        assert vms.messages < MAX_MESSAGES
         before = vms.messages
-        vms.serve(2, SOUND)
-        vms.serve(3, SOUND)
+        vms.serve(2, HARMLESS)
+        vms.serve(3, HARMLESS)
         assert vms.messages == before
 
     def test_forwarding_of_probes_ends(self):
@@ -113,43 +115,43 @@
         vms.crash(0, "s0", DEADLY)
         before = vms.messages
         vms.watches[1].probe(DEADLY, vms.now)
-        vms.settle()
-        assert vms.messages - before < MOST_MESSAGES
+        vms.deliver()
+        assert vms.messages - before < MAX_MESSAGES
 
     def test_answer_arrives_before_the_crash(self):
         """The first report of a crash is lost; it arrives by a control VM, after the answer."""
         told, late = [], []
-        first, last = watch(told), watch(late)
-        run = first.began(SOUND, [("s0", 1)], 0.0)
+        first, last = make_watch(told), make_watch(late)
+        run = first.began(HARMLESS, [("s0", 1)], 0.0)
         first.crashed(("s0", 1), "m", 20, 100.0, 100.0)
         first.ended(run, RunEnd.BROKE, 100.0)
-        again = first.began(SOUND, [("s1", 1)], 110.0)
+        again = first.began(HARMLESS, [("s1", 1)], 110.0)
         first.ended(again, RunEnd.WHOLE, 200.0)
         crash, answer = told
         last.hear(answer, 210.0)
         last.hear(crash._replace(crashes=[crash.crashes[0]._replace(age_ms=120)]), 220.0)
-        assert last.judge(SOUND, 230.0) == Clear()
+        assert last.judge(HARMLESS, 230.0) == Clear()
 
     def test_answered_between_a_crash_and_its_report(self):
         """A VM's repeated answer is not forwarded, but clears a crash that is reported later."""
         told, reports = [], []
-        one, other = watch(told), watch(reports)
-        run = one.began(SOUND, [("s0", 1)], 0.0)
+        one, other = make_watch(told), make_watch(reports)
+        run = one.began(HARMLESS, [("s0", 1)], 0.0)
         one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
         one.ended(run, RunEnd.BROKE, 100.0)
         for at in (200.0, 900.0):
-            one.ended(one.began(SOUND, [("s1", 1)], at - 50.0), RunEnd.WHOLE, at)
-        other.began(SOUND, [("s2", 1)], 700.0)
+            one.ended(one.began(HARMLESS, [("s1", 1)], at - 50.0), RunEnd.WHOLE, at)
+        other.began(HARMLESS, [("s2", 1)], 700.0)
         other.crashed(("s2", 1), "m", 20, 850.0, 930.0)
         told.clear()
         one.hear(reports[0], 933.0)
-        assert [item.fingerprint for news in told for item in news.served] == [SOUND.fingerprint]
+        assert [item.fingerprint for news in told for item in news.served] == [HARMLESS.fingerprint]
         other.hear(told[0], 936.0)
-        assert other.judge(SOUND, 940.0) == Clear()
+        assert other.judge(HARMLESS, 940.0) == Clear()
 
     def test_messages_survive_encoding(self):
         told = []
-        one = watch(told)
+        one = make_watch(told)
         run = one.began(DEADLY, [("s0", 1)], 0.0)
         one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
         one.ended(run, RunEnd.BROKE, 100.0)
@@ -160,7 +162,7 @@
     """Which requests were open at a server when it crashed."""
 
     def suspects(self, *ends, at=100.0):
-        one = watch([])
+        one = make_watch([])
         for number, (end, ended_at) in enumerate(ends):
             subject = Subject("acme", "x", b"%d" % number)
             run = one.began(subject, [("s0", 1)], 0.0)
@@ -185,7 +187,7 @@
 
     def test_body_is_not_hashed_without_a_crash(self):
         """Bodies may have megabytes, so they are not hashed while there are no crashes."""
-        one = watch([])
+        one = make_watch([])
         subject = Subject("acme", "x", b"body")
         one.ended(one.began(subject, [("s0", 1)], 0.0), RunEnd.WHOLE, 50.0)
         assert one.judge(subject, 60.0) == Clear()
@@ -196,36 +198,36 @@
     """A VM that starts or returns is sent what it needs and no more."""
 
     def after_crashes(self):
-        one = watch([])
+        one = make_watch([])
         for number in range(3):
             start = (f"s{number}", 1)
             run = one.began(DEADLY, [start], 1_000.0 * number)
-            neighbour = one.began(SOUND, [start], 1_000.0 * number)
+            neighbour = one.began(HARMLESS, [start], 1_000.0 * number)
             one.crashed(start, "m", 20, 1_000.0 * number + RAN_MS, 1_000.0 * number + RAN_MS)
             one.ended(run, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
             one.ended(neighbour, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
-        one.ended(one.began(SOUND, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
+        one.ended(one.began(HARMLESS, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
         return one
 
     def test_entry_vm_learns_from_control_vm(self):
-        newcomer = watch([])
+        newcomer = make_watch([])
         for news in self.after_crashes().all_news(4_000.0):
             newcomer.hear(news, 50.0)
         assert isinstance(newcomer.judge(DEADLY, 60.0), Quarantined)
-        assert newcomer.judge(SOUND, 60.0) == Clear()
+        assert newcomer.judge(HARMLESS, 60.0) == Clear()
 
     def test_control_vm_that_lost_its_state(self):
         """After a restart of all control VMs, entry VMs send them what they observed themselves."""
-        control = watch([])
+        control = make_watch([])
         for news in self.after_crashes().own_news(4_000.0):
             control.hear(news, 50.0)
         assert isinstance(control.judge(DEADLY, 60.0), Quarantined)
-        assert control.judge(SOUND, 60.0) == Clear()
+        assert control.judge(HARMLESS, 60.0) == Clear()
 
     def test_nothing_if_all_are_cleared(self):
-        one = watch([])
-        run = one.began(SOUND, [("s0", 1)], 0.0)
+        one = make_watch([])
+        run = one.began(HARMLESS, [("s0", 1)], 0.0)
         one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
         one.ended(run, RunEnd.BROKE, 100.0)
-        one.ended(one.began(SOUND, [("s1", 1)], 110.0), RunEnd.WHOLE, 200.0)
+        one.ended(one.began(HARMLESS, [("s1", 1)], 110.0), RunEnd.WHOLE, 200.0)
         assert one.all_news(300.0) == []
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -20,21 +20,21 @@
     Suspected,
     Undecided,
 )
-from tests.coordination.crash_world import World, name_of, play
+from tests.coordination.crash_world import SimulationConfig, fingerprint_of, simulate
 
-DEADLY = name_of("d", 1)
-SOUND = name_of("5", 1)
+DEADLY = fingerprint_of("d", 1)
+HARMLESS = fingerprint_of("5", 1)
 RAN_MS = 100.0
-LATE = 10_000.0
+LATER_MS = 10_000.0
 
 
-def crash(ledger, number, at, *fingerprints, ran=RAN_MS, servers=20):
-    """Have a server crash with these requests open, each sent ``ran`` ms before."""
-    suspects = [Suspect(item, at - ran) for item in fingerprints]
+def crash(ledger, number, at, *fingerprints, ran_ms=RAN_MS, servers=20):
+    """Have a server crash with these requests open, each sent ``ran_ms`` before."""
+    suspects = [Suspect(item, at - ran_ms) for item in fingerprints]
     return ledger.add((f"server-{number}", 1), "m", servers, at, suspects)
 
 
-def deadly_alone(ledger, times=3, first=0):
+def crash_servers(ledger, times=3, first=0):
     """Have one request crash several servers in turn, with no other request open."""
     for number in range(first, first + times):
         crash(ledger, number, 1_000.0 * (number + 1), DEADLY)
@@ -45,48 +45,48 @@
 
     def test_without_crashes(self):
         ledger = CrashLedger()
-        assert ledger.judge(DEADLY, LATE) == Clear()
+        assert ledger.judge(DEADLY, LATER_MS) == Clear()
         assert ledger.is_empty
 
     def test_two_crashes_are_not_enough(self):
         ledger = CrashLedger()
-        deadly_alone(ledger, 2)
-        assert isinstance(ledger.judge(DEADLY, LATE), Suspected)
+        crash_servers(ledger, 2)
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Suspected)
 
     def test_three_crashes_are_enough(self):
         """The quarantine is delayed, since an answer that clears the request may be on its way."""
         ledger = CrashLedger()
-        deadly_alone(ledger)
+        crash_servers(ledger)
         assert ledger.judge(DEADLY, 3_000.0) == Undecided(SETTLE_MS)
         verdict = ledger.judge(DEADLY, 3_000.0 + SETTLE_MS)
         assert verdict == Quarantined(QUARANTINE_MS - SETTLE_MS, 3)
 
     def test_complete_answer_clears(self):
         ledger = CrashLedger()
-        deadly_alone(ledger)
+        crash_servers(ledger)
         assert ledger.clear(DEADLY, 3_100.0)
-        assert ledger.judge(DEADLY, LATE) == Clear()
+        assert ledger.judge(DEADLY, LATER_MS) == Clear()
 
     def test_only_crashes_after_a_complete_answer_count(self):
         """A harmless request may become deadly, for example when the server's weights change."""
         ledger = CrashLedger()
         crash(ledger, 0, 1_000.0, DEADLY)
         ledger.clear(DEADLY, 1_500.0)
-        deadly_alone(ledger, 2, first=1)
-        assert isinstance(ledger.judge(DEADLY, LATE), Suspected)
-        deadly_alone(ledger, 1, first=3)
-        assert isinstance(ledger.judge(DEADLY, LATE), Quarantined)
+        crash_servers(ledger, 2, first=1)
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Suspected)
+        crash_servers(ledger, 1, first=3)
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Quarantined)
 
     def test_order_of_reports_does_not_matter(self):
         """Reports of crashes and of their suspects arrive at VMs in any order."""
-        reports = [(number, name) for number in range(3) for name in (DEADLY, SOUND)]
+        reports = [(number, name) for number in range(3) for name in (DEADLY, HARMLESS)]
         verdicts = set()
         for order in itertools.permutations(reports):
             ledger = CrashLedger()
             for number, name in order:
                 crash(ledger, number, 1_000.0 * (number + 1), name)
-            ledger.clear(SOUND, 3_500.0)
-            verdicts.add((ledger.judge(DEADLY, LATE), ledger.judge(SOUND, LATE)))
+            ledger.clear(HARMLESS, 3_500.0)
+            verdicts.add((ledger.judge(DEADLY, LATER_MS), ledger.judge(HARMLESS, LATER_MS)))
         assert len(verdicts) == 1
         deadly, sound = verdicts.pop()
         assert isinstance(deadly, Quarantined)
@@ -100,41 +100,41 @@
         """Two requests with the same crashes cannot be told apart, so neither is quarantined."""
         ledger = CrashLedger()
         for number in range(6):
-            crash(ledger, number, 1_000.0 * (number + 1), DEADLY, SOUND)
-        assert isinstance(ledger.judge(SOUND, LATE), Suspected)
-        assert isinstance(ledger.judge(DEADLY, LATE), Suspected)
+            crash(ledger, number, 1_000.0 * (number + 1), DEADLY, HARMLESS)
+        assert isinstance(ledger.judge(HARMLESS, LATER_MS), Suspected)
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Suspected)
 
     def test_complete_answer_of_the_neighbour(self):
         ledger = CrashLedger()
         for number in range(3):
-            crash(ledger, number, 1_000.0 * (number + 1), DEADLY, SOUND)
-        ledger.clear(SOUND, 3_200.0)
-        assert isinstance(ledger.judge(DEADLY, LATE), Quarantined)
+            crash(ledger, number, 1_000.0 * (number + 1), DEADLY, HARMLESS)
+        ledger.clear(HARMLESS, 3_200.0)
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Quarantined)
 
     def test_different_cause_each_time(self):
         """A harmless stream is moved from one of several deadly requests to the next."""
         ledger = CrashLedger()
         for number in range(5):
-            cause = name_of("d", number)
-            crash(ledger, number, 1_000.0 * (number + 1), cause, SOUND)
+            cause = fingerprint_of("d", number)
+            crash(ledger, number, 1_000.0 * (number + 1), cause, HARMLESS)
             crash(ledger, 100 + number, 1_000.0 * (number + 1) + 400, cause)
-        assert isinstance(ledger.judge(SOUND, LATE), Suspected)
+        assert isinstance(ledger.judge(HARMLESS, LATER_MS), Suspected)
 
     def test_different_neighbour_each_time(self):
         """A different neighbour at each crash is not the cause, even if its caller has left."""
         ledger = CrashLedger()
         for number in range(7):
-            crash(ledger, number, 1_000.0 * (number + 1), DEADLY, name_of("5", number))
-        assert isinstance(ledger.judge(DEADLY, LATE), Quarantined)
-        assert isinstance(ledger.judge(name_of("5", 0), LATE), Suspected)
+            crash(ledger, number, 1_000.0 * (number + 1), DEADLY, fingerprint_of("5", number))
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Quarantined)
+        assert isinstance(ledger.judge(fingerprint_of("5", 0), LATER_MS), Suspected)
 
     def test_too_many_suspects(self):
         """With too many suspects the cause cannot be identified, and memory stays bounded."""
         ledger = CrashLedger()
-        crowd = [name_of("5", number) for number in range(MAX_SUSPECTS + 5)]
+        crowd = [fingerprint_of("5", number) for number in range(MAX_SUSPECTS + 5)]
         for number in range(3):
             crash(ledger, number, 1_000.0 * (number + 1), *crowd)
-        assert ledger.judge(crowd[0], LATE) == Suspected(3, 0.0)
+        assert ledger.judge(crowd[0], LATER_MS) == Suspected(3, 0.0)
         assert len(ledger.crashes[0].suspects) == MAX_SUSPECTS
 
 
@@ -145,24 +145,24 @@
         """Three copies of a request are open at three servers that are killed at the same time."""
         ledger = CrashLedger()
         for number in range(3):
-            crash(ledger, number, 1_000.0 + number, SOUND)
-        assert isinstance(ledger.judge(SOUND, LATE), Suspected)
+            crash(ledger, number, 1_000.0 + number, HARMLESS)
+        assert isinstance(ledger.judge(HARMLESS, LATER_MS), Suspected)
 
     def test_long_runs_among_frequent_crashes(self):
         """A long prompt runs for seconds while servers keep crashing and restarting."""
         ledger = CrashLedger()
         for number in range(40):
-            crash(ledger, 100 + number, 250.0 * number, name_of("5", 100 + number))
+            crash(ledger, 100 + number, 250.0 * number, fingerprint_of("5", 100 + number))
         for number in range(3):
-            crash(ledger, number, 3_000.0 * (number + 1), SOUND, ran=2_500.0)
-        assert isinstance(ledger.judge(SOUND, LATE), Suspected)
+            crash(ledger, number, 3_000.0 * (number + 1), HARMLESS, ran_ms=2_500.0)
+        assert isinstance(ledger.judge(HARMLESS, LATER_MS), Suspected)
 
     def test_refuted_crash(self):
         """The server was at its connection limit, and has answered another request since."""
         ledger = CrashLedger()
-        deadly_alone(ledger)
+        crash_servers(ledger)
         assert ledger.refute(("server-1", 1), 2_500.0)
-        assert isinstance(ledger.judge(DEADLY, LATE), Suspected)
+        assert isinstance(ledger.judge(DEADLY, LATER_MS), Suspected)
         assert crash(ledger, 1, 2_000.0, DEADLY) is None
 
 
@@ -171,7 +171,7 @@
 
     def after(self, ms):
         ledger = CrashLedger()
-        deadly_alone(ledger)
+        crash_servers(ledger)
         return ledger, 3_000.0 + ms
 
     def test_one_attempt_after_the_quarantine(self):
@@ -206,19 +206,19 @@
     def test_oldest_are_dropped_first(self):
         ledger = CrashLedger()
         for number in range(MOST_CRASHES + 50):
-            crash(ledger, number, 10.0 * number, name_of("d", number))
+            crash(ledger, number, 10.0 * number, fingerprint_of("d", number))
         assert len(ledger.crashes) == MOST_CRASHES
-        assert not ledger.knows(name_of("d", 0))
-        assert ledger.knows(name_of("d", MOST_CRASHES))
+        assert not ledger.knows(fingerprint_of("d", 0))
+        assert ledger.knows(fingerprint_of("d", MOST_CRASHES))
 
     def test_early_answers_are_bounded(self):
         """A few answers to unknown requests are kept, in case their crash is reported later."""
         ledger = CrashLedger()
         for number in range(2 * MAX_EARLY_ANSWERS):
-            ledger.clear(name_of("5", number), 1.0)
-        crash(ledger, 0, 1_000.0, name_of("5", 0))
+            ledger.clear(fingerprint_of("5", number), 1.0)
+        crash(ledger, 0, 1_000.0, fingerprint_of("5", 0))
         assert not ledger.served
-        assert isinstance(ledger.judge(name_of("5", 0), LATE), Suspected)
+        assert isinstance(ledger.judge(fingerprint_of("5", 0), LATER_MS), Suspected)
 
 
 SEEDS = range(12)
@@ -229,16 +229,16 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_one_deadly_request(self, seed):
-        result = play(World(seed, apart=True))
-        assert set(result.turned_away) == {name_of("d", 0)}
-        assert result.sent_late[name_of("d", 0)] <= 3
+        result = simulate(SimulationConfig(seed, isolate_suspects=True))
+        assert set(result.rejected) == {fingerprint_of("d", 0)}
+        assert result.sent_after_third_crash[fingerprint_of("d", 0)] <= 3
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_delayed_crashes(self, seed):
         """Several copies run at several servers at the same time."""
-        result = play(World(seed, apart=True, deadly_ms=600.0))
-        assert set(result.turned_away) == {name_of("d", 0)}
-        assert result.sent_late[name_of("d", 0)] <= 3
+        result = simulate(SimulationConfig(seed, isolate_suspects=True, deadly_ms=600.0))
+        assert set(result.rejected) == {fingerprint_of("d", 0)}
+        assert result.sent_after_third_crash[fingerprint_of("d", 0)] <= 3
 
     @pytest.mark.parametrize(
         ("deadly", "servers", "sound_every_ms"), [(2, 23, 30.0), (3, 23, 30.0), (6, 60, 10.0)]
@@ -246,52 +246,66 @@
     @pytest.mark.parametrize("seed", SEEDS)
     def test_several_deadly_requests(self, seed, deadly, servers, sound_every_ms):
         """Harmless requests meet one deadly request after another."""
-        world = World(seed, servers=servers, sound_every_ms=sound_every_ms, apart=True)
-        world.deadly = deadly
-        result = play(world)
-        assert set(result.turned_away) == {name_of("d", number) for number in range(deadly)}
-        assert max(result.sent_late.values(), default=0) <= 3
+        config = SimulationConfig(
+            seed, servers=servers, harmless_every_ms=sound_every_ms, isolate_suspects=True
+        )
+        config.deadly = deadly
+        result = simulate(config)
+        assert set(result.rejected) == {fingerprint_of("d", number) for number in range(deadly)}
+        assert max(result.sent_after_third_crash.values(), default=0) <= 3
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_deadly_requests_that_crash_the_fleet(self, seed):
         """Six deadly requests crash twenty servers within half a second; all are identified."""
-        result = play(World(seed, deadly=6, apart=True))
-        assert set(result.turned_away) == {name_of("d", number) for number in range(6)}
+        result = simulate(SimulationConfig(seed, deadly=6, isolate_suspects=True))
+        assert set(result.rejected) == {fingerprint_of("d", number) for number in range(6)}
 
     @pytest.mark.parametrize("deadly", [1, 6])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_suspects_are_not_isolated(self, seed, deadly):
         """All servers crash within a second; for a while none outlives a harmless request."""
-        result = play(World(seed, deadly=deadly))
-        assert all(name.startswith("d") for name in result.turned_away)
+        result = simulate(SimulationConfig(seed, deadly=deadly))
+        assert all(name.startswith("d") for name in result.rejected)
 
     @pytest.mark.parametrize("apart", [False, True])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_many_deadly_requests_without_retries(self, seed, apart):
         """Each request crashes up to six servers and is not repeated; no neighbour is rejected."""
-        world = World(seed, deadly=150, comes_again=False, run_ms=10_000.0, apart=apart)
-        assert all(name.startswith("d") for name in play(world).turned_away)
+        config = SimulationConfig(
+            seed, deadly=150, deadly_is_retried=False, run_ms=10_000.0, isolate_suspects=apart
+        )
+        assert all(name.startswith("d") for name in simulate(config).rejected)
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_same_body_among_unrelated_crashes(self, seed):
         """Servers crash for other reasons, eight per second, in a fleet of twenty."""
-        world = World(seed, deadly=0, same_body=True, accidents_every_ms=125.0, back_ms=500.0)
-        result = play(world)
-        assert not result.turned_away
+        config = SimulationConfig(
+            seed, deadly=0, same_body=True, unrelated_crashes_every_ms=125.0, restart_ms=500.0
+        )
+        result = simulate(config)
+        assert not result.rejected
         assert result.served
 
     @pytest.mark.parametrize("apart", [False, True])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_flapping_servers(self, seed, apart):
-        world = World(seed, deadly=0, accidents_every_ms=200.0, back_ms=1_000.0, sound_ms=2_500.0)
-        world.apart = apart
-        assert not play(world).turned_away
+        config = SimulationConfig(
+            seed,
+            deadly=0,
+            unrelated_crashes_every_ms=200.0,
+            restart_ms=1_000.0,
+            harmless_ms=2_500.0,
+        )
+        config.isolate_suspects = apart
+        assert not simulate(config).rejected
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_deadly_request_among_unrelated_crashes(self, seed):
-        result = play(World(seed, accidents_every_ms=1_000.0, apart=True))
-        assert set(result.turned_away) == {name_of("d", 0)}
-        assert result.sent_late[name_of("d", 0)] <= 3
+        result = simulate(
+            SimulationConfig(seed, unrelated_crashes_every_ms=1_000.0, isolate_suspects=True)
+        )
+        assert set(result.rejected) == {fingerprint_of("d", 0)}
+        assert result.sent_after_third_crash[fingerprint_of("d", 0)] <= 3
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_partitions_that_refuse_connections(self, seed):
@@ -300,13 +314,15 @@
         Without witnesses each server there counts as crashed, so harmless requests are isolated and
         wait.
         """
-        world = World(seed, deadly=0, cut_every_ms=6_000.0, apart=True, late_ms=2.0)
-        assert not play(world).suspected
-        world.witnesses = False
-        assert play(world).suspected
+        config = SimulationConfig(
+            seed, deadly=0, partition_every_ms=6_000.0, isolate_suspects=True, report_delay_ms=2.0
+        )
+        assert not simulate(config).suspected
+        config.use_witnesses = False
+        assert simulate(config).suspected
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_deadly_request_among_partitions(self, seed):
-        result = play(World(seed, cut_every_ms=6_000.0, apart=True))
-        assert set(result.turned_away) == {name_of("d", 0)}
-        assert result.sent_late[name_of("d", 0)] <= 3
+        result = simulate(SimulationConfig(seed, partition_every_ms=6_000.0, isolate_suspects=True))
+        assert set(result.rejected) == {fingerprint_of("d", 0)}
+        assert result.sent_after_third_crash[fingerprint_of("d", 0)] <= 3
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -13,17 +13,17 @@
 )
 from siskinspoke.protocol.announcements import load_of
 
-LEASE = 3_000
+LEASE_MS = 3_000
 
 
-def said(seq, incarnation=7, leaving=False):
+def announced(seq, incarnation=7, leaving=False):
     """Return an announcement of the same server."""
     return announcement(1, seq, "sala-a")._replace(incarnation=incarnation, leaving=leaving)
 
 
-def named(server):
+def first_announcement_of(server):
     """Return the first announcement of a server."""
-    return said(1)._replace(server=server)
+    return announced(1)._replace(server=server)
 
 
 class TestOrder:
@@ -31,13 +31,13 @@
 
     def test_leaving_is_final_for_an_incarnation(self):
         """Announcements from before and after a server left must not bring it back."""
-        directory = Directory(LEASE)
-        directory.hear(said(5), 0)
-        assert directory.hear(said(6, leaving=True), 1) is Heard.LEFT
-        assert directory.hear(said(5), 2) is Heard.STALE
-        assert directory.hear(said(9), 3) is Heard.STALE
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(5), 0)
+        assert directory.hear(announced(6, leaving=True), 1) is Heard.LEFT
+        assert directory.hear(announced(5), 2) is Heard.STALE
+        assert directory.hear(announced(9), 3) is Heard.STALE
         assert directory.live(4) == []
-        assert directory.hear(said(1, incarnation=8), 5) is Heard.JOINED
+        assert directory.hear(announced(1, incarnation=8), 5) is Heard.JOINED
 
     def test_leaving_server_keeps_announcing(self):
         """A server that left but still announces itself must not rejoin after a minute.
@@ -45,28 +45,28 @@
         Its record was dropped after that time, so that its next announcement was taken for a new
         server's.
         """
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        directory.retire(*start_of(said(1)))
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1), 0)
+        directory.retire(*start_of(announced(1)))
         for second in range(1, 200):
-            assert directory.hear(said(1 + second), second * 1_000) is Heard.STALE
+            assert directory.hear(announced(1 + second), second * 1_000) is Heard.STALE
             directory.forget(second * 1_000)
         assert directory.live(200_000) == []
-        assert directory.forget(300_000) == [said(1).server]
+        assert directory.forget(300_000) == [announced(1).server]
 
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(st.permutations([said(1), said(2), said(3), said(4, leaving=True)]))
+    @given(st.permutations([announced(1), announced(2), announced(3), announced(4, leaving=True)]))
     def test_any_order_gives_the_same_result(self, items):
-        directory = Directory(LEASE)
+        directory = Directory(LEASE_MS)
         for item in items:
             directory.hear(item, 0)
         assert directory.live(1) == []
 
     def test_older_incarnation_is_stale(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1, incarnation=8), 0)
-        assert directory.hear(said(99, incarnation=7), 1) is Heard.STALE
-        assert directory.superseded(said(1).server, 7)
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1, incarnation=8), 0)
+        assert directory.hear(announced(99, incarnation=7), 1) is Heard.STALE
+        assert directory.superseded(announced(1).server, 7)
 
 
 class TestStarts:
@@ -74,69 +74,71 @@
 
     def test_lower_number_of_a_later_incarnation_counts(self):
         """Otherwise a healthy server gets no requests until its numbers pass the old ones."""
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        assert directory.hear(said(1, incarnation=8), 10) is Heard.JOINED
-        assert directory.latest(said(1).server).start == (said(1).server, 8)
-        assert len(directory.live(LEASE + 5)) == 1
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(90, incarnation=7), 0)
+        assert directory.hear(announced(1, incarnation=8), 10) is Heard.JOINED
+        assert directory.latest(announced(1).server).start == (announced(1).server, 8)
+        assert len(directory.live(LEASE_MS + 5)) == 1
 
     def test_restart_after_a_deregistration(self):
         """A deregistration overrides all announcements of its incarnation, but no later one."""
-        directory = Directory(LEASE)
-        directory.hear(said(2**60, incarnation=7, leaving=True), 0)
-        assert directory.hear(said(1, incarnation=8), 10) is Heard.JOINED
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(2**60, incarnation=7, leaving=True), 0)
+        assert directory.hear(announced(1, incarnation=8), 10) is Heard.JOINED
         assert len(directory.live(11)) == 1
 
     def test_late_announcements_of_the_previous_incarnation_are_stale(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1, incarnation=8), 0)
-        assert directory.hear(said(91, incarnation=7), 1) is Heard.STALE
-        assert directory.hear(said(2**60, incarnation=7, leaving=True), 2) is Heard.STALE
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1, incarnation=8), 0)
+        assert directory.hear(announced(91, incarnation=7), 1) is Heard.STALE
+        assert directory.hear(announced(2**60, incarnation=7, leaving=True), 2) is Heard.STALE
         assert len(directory.live(3)) == 1
 
     def test_leaving_of_the_later_incarnation_counts(self):
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        assert directory.hear(said(2**60, incarnation=8, leaving=True), 1) is Heard.LEFT
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(90, incarnation=7), 0)
+        assert directory.hear(announced(2**60, incarnation=8, leaving=True), 1) is Heard.LEFT
         assert directory.live(2) == []
 
     def test_answer_and_leaving_apply_to_one_incarnation(self):
         """An answer of the previous process arrives after the new one has announced itself."""
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        directory.hear(said(1, incarnation=8), 1)
-        directory.retire(said(1).server, 7)
-        directory.prove(said(1).server, 7, LEASE)
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(90, incarnation=7), 0)
+        directory.hear(announced(1, incarnation=8), 1)
+        directory.retire(announced(1).server, 7)
+        directory.prove(announced(1).server, 7, LEASE_MS)
         assert len(directory.live(2)) == 1
-        assert directory.live(LEASE + 2) == []
+        assert directory.live(LEASE_MS + 2) == []
 
     def test_restored_later_incarnation_replaces_the_previous(self):
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        assert directory.remember(said(3, incarnation=8), 1)
-        assert not directory.remember(said(95, incarnation=7), 2)
-        assert directory.latest(said(1).server).announcement.incarnation == 8
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(90, incarnation=7), 0)
+        assert directory.remember(announced(3, incarnation=8), 1)
+        assert not directory.remember(announced(95, incarnation=7), 2)
+        assert directory.latest(announced(1).server).announcement.incarnation == 8
 
     def test_server_without_start_time_among_others_gets_nothing(self):
         """A foreign program announces itself for the service without a start time."""
-        directory = Directory(LEASE)
+        directory = Directory(LEASE_MS)
         stranger = announcement(2, 1, "sala-a")._replace(incarnation=UNDATED)
         directory.hear(stranger, 0)
         assert len(directory.live(1)) == 1
-        directory.hear(said(1), 1)
-        assert [item.announcement for item in directory.live(2)] == [said(1)]
-        assert [item.announcement for item in directory.remembered(said(1).service)] == [said(1)]
+        directory.hear(announced(1), 1)
+        assert [item.announcement for item in directory.live(2)] == [announced(1)]
+        assert [item.announcement for item in directory.remembered(announced(1).service)] == [
+            announced(1)
+        ]
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
     def test_vms_agree_after_any_order(self, data):
         """VMs that receive delayed and duplicate announcements agree after exchanging records."""
         words = [
-            said(seq, incarnation=start, leaving=start < 9 and seq == 3)
+            announced(seq, incarnation=start, leaving=start < 9 and seq == 3)
             for start in (7, 8, 9)
             for seq in (1, 2, 3)
         ]
-        vms = [Directory(LEASE) for _ in range(3)]
+        vms = [Directory(LEASE_MS) for _ in range(3)]
         heard = st.lists(st.sampled_from(words), max_size=12)
         for vm in vms:
             for word in data.draw(heard):
@@ -145,7 +147,7 @@
             for other in vms:
                 for record in other.all_known():
                     vm.hear(record.announcement, 1)
-        last = {vm.latest(said(1).server).order for vm in vms if vm.all_known()}
+        last = {vm.latest(announced(1).server).order for vm in vms if vm.all_known()}
         assert len(last) <= 1
         assert len({len(vm.live(2)) for vm in vms}) == 1
         if last:
@@ -154,77 +156,77 @@
 
 
 def _has_left(directory):
-    return directory.latest(said(1).server).announcement.leaving
+    return directory.latest(announced(1).server).announcement.leaving
 
 
 class TestLease:
     """An announcement is a lease."""
 
     def test_lease_expires(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        assert len(directory.live(LEASE - 1)) == 1
-        assert directory.live(LEASE) == []
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1), 0)
+        assert len(directory.live(LEASE_MS - 1)) == 1
+        assert directory.live(LEASE_MS) == []
 
     def test_suspected_server_gets_nothing_for_a_lease(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        directory.suspect(said(1).server, 7, 10)
-        directory.hear(said(2), 20)
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1), 0)
+        directory.suspect(announced(1).server, 7, 10)
+        directory.hear(announced(2), 20)
         assert directory.live(30) == []
-        directory.hear(said(3), LEASE)
-        assert len(directory.live(LEASE + 11)) == 1
+        directory.hear(announced(3), LEASE_MS)
+        assert len(directory.live(LEASE_MS + 11)) == 1
 
 
 class TestLoads:
     """Load updates contain only the fields that change."""
 
     def test_load_renews_a_known_server(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        later = said(2)._replace(free_tokens=5)
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1), 0)
+        later = announced(2)._replace(free_tokens=5)
         assert directory.hear_load(load_of(later, 0), 1) is Heard.RENEWED
         assert directory.live(2)[0].announcement.free_tokens == 5
 
     def test_load_of_an_unknown_server_or_incarnation(self):
-        directory = Directory(LEASE)
-        assert directory.hear_load(load_of(said(1), 0), 0) is Heard.UNKNOWN
-        directory.hear(said(1), 0)
-        newer = load_of(said(1, incarnation=8), 0)
+        directory = Directory(LEASE_MS)
+        assert directory.hear_load(load_of(announced(1), 0), 0) is Heard.UNKNOWN
+        directory.hear(announced(1), 0)
+        newer = load_of(announced(1, incarnation=8), 0)
         assert directory.hear_load(newer, 1) is Heard.UNKNOWN
 
     def test_load_after_leaving_is_stale(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1, leaving=True), 0)
-        assert directory.hear_load(load_of(said(2), 0), 1) is Heard.STALE
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(1, leaving=True), 0)
+        assert directory.hear_load(load_of(announced(2), 0), 1) is Heard.STALE
 
 
 class TestRecalled:
     """After a restart a VM uses the servers it knew before for a short time."""
 
     def test_expires_unless_renewed(self):
-        directory = Directory(LEASE)
-        assert directory.remember(said(5), 0)
+        directory = Directory(LEASE_MS)
+        assert directory.remember(announced(5), 0)
         assert [item.announcement.seq for item in directory.live(RESTORED_LEASE_MS - 1)] == [5]
         assert directory.live(RESTORED_LEASE_MS + 1) == []
 
     def test_own_announcement_gives_a_full_lease(self):
-        directory = Directory(LEASE)
-        directory.remember(said(5), 0)
-        assert directory.hear(said(6), 100) is Heard.JOINED
+        directory = Directory(LEASE_MS)
+        directory.remember(announced(5), 0)
+        assert directory.hear(announced(6), 100) is Heard.JOINED
         assert len(directory.live(RESTORED_LEASE_MS + 100)) == 1
 
     def test_leaving_is_not_undone(self):
         """A server has left, but a control VM that missed this restores it from its storage."""
-        directory = Directory(LEASE)
-        directory.hear(said(6, leaving=True), 0)
-        assert not directory.remember(said(5), 1)
+        directory = Directory(LEASE_MS)
+        directory.hear(announced(6, leaving=True), 0)
+        assert not directory.remember(announced(5), 1)
         assert directory.live(2) == []
 
     def test_leaving_is_applied(self):
-        directory = Directory(LEASE)
-        directory.remember(said(5), 0)
-        assert directory.hear(said(6, leaving=True), 1) is Heard.LEFT
+        directory = Directory(LEASE_MS)
+        directory.remember(announced(5), 0)
+        assert directory.hear(announced(6, leaving=True), 1) is Heard.LEFT
         assert directory.live(2) == []
 
 
@@ -234,8 +236,8 @@
     def test_expired_server_is_not_used_beside_a_live_one(self):
         """Otherwise each VM of a large fleet keeps connecting to a dead server twice a second."""
         directory = Directory(1_000)
-        directory.hear(named("crashed"), 0)
-        directory.hear(named("well"), 1_500)
+        directory.hear(first_announcement_of("crashed"), 0)
+        directory.hear(first_announcement_of("well"), 1_500)
         crashed, well = directory.latest("crashed"), directory.latest("well")
         assert directory.is_believed(well, 2_000)
         assert not directory.is_believed(crashed, 2_000)
@@ -243,12 +245,12 @@
     def test_cut_off_vm_uses_expired_servers(self):
         """A VM that no longer receives announcements keeps using the servers it knows."""
         directory = Directory(1_000)
-        directory.hear(named("known"), 0)
+        directory.hear(first_announcement_of("known"), 0)
         assert directory.is_believed(directory.latest("known"), 5_000)
         assert directory.believed_among(["known", "other"], 5_000) == [directory.latest("known")]
 
     def test_live_servers_are_preferred_to_expired_ones(self):
         directory = Directory(1_000)
-        directory.hear(named("crashed"), 0)
-        directory.hear(named("well"), 1_500)
+        directory.hear(first_announcement_of("crashed"), 0)
+        directory.hear(first_announcement_of("well"), 1_500)
         assert directory.believed_among(["crashed", "well"], 2_000) == [directory.latest("well")]
--- a/tests/coordination/test_fingerprints.py
+++ b/tests/coordination/test_fingerprints.py
@@ -4,7 +4,7 @@
 
 from siskinspoke.coordination.fingerprints import Subject, shape_of
 
-ONE = Subject("acme", "shop.example/stream/x", b"a prompt")
+SUBJECT = Subject("acme", "shop.example/stream/x", b"a prompt")
 
 
 class TestSubject:
@@ -12,17 +12,17 @@
 
     def test_same_request(self):
         again = Subject("acme", "shop.example/stream/x", b"a prompt")
-        assert again.fingerprint == ONE.fingerprint
-        assert again.shape == ONE.shape
+        assert again.fingerprint == SUBJECT.fingerprint
+        assert again.shape == SUBJECT.shape
 
     def test_other_requests(self):
         others = [
-            replace(ONE, customer="other"),
-            replace(ONE, target="shop.example/stream/y"),
-            replace(ONE, body=b"a prompT"),
-            replace(ONE, body=b""),
+            replace(SUBJECT, customer="other"),
+            replace(SUBJECT, target="shop.example/stream/y"),
+            replace(SUBJECT, body=b"a prompT"),
+            replace(SUBJECT, body=b""),
         ]
-        assert ONE.fingerprint not in {item.fingerprint for item in others}
+        assert SUBJECT.fingerprint not in {item.fingerprint for item in others}
 
     def test_parts_are_delimited(self):
         """Otherwise a customer could have another one's request taken for its own."""
@@ -32,8 +32,8 @@
 
     def test_shape_does_not_read_the_body(self):
         """Bodies may have megabytes, and every request is compared while there are suspects."""
-        assert replace(ONE, body=b"A PROMPT").shape == ONE.shape
-        assert replace(ONE, body=b"a prompt!").shape != ONE.shape
+        assert replace(SUBJECT, body=b"A PROMPT").shape == SUBJECT.shape
+        assert replace(SUBJECT, body=b"a prompt!").shape != SUBJECT.shape
 
     def test_fingerprint_begins_with_the_shape(self):
-        assert shape_of(ONE.fingerprint) == ONE.shape
+        assert shape_of(SUBJECT.fingerprint) == SUBJECT.shape
--- a/tests/coordination/test_known_entries.py
+++ b/tests/coordination/test_known_entries.py
@@ -7,7 +7,7 @@
 )
 from siskinspoke.protocol.feed import EntryPeer
 
-ONE, TWO = EntryPeer("10.0.0.1", 9, "a"), EntryPeer("10.0.0.2", 9, "b")
+FIRST, SECOND = EntryPeer("10.0.0.1", 9, "a"), EntryPeer("10.0.0.2", 9, "b")
 
 
 class TestKnownEntries:
@@ -20,30 +20,30 @@
         without knowing of each other's.
         """
         known = KnownEntries()
-        known.recall([ONE, TWO], 0.0)
-        known.joined(ONE)
-        assert known.named(0.1) == {ONE, TWO}
+        known.recall([FIRST, SECOND], 0.0)
+        known.joined(FIRST)
+        assert known.named(0.1) == {FIRST, SECOND}
 
     def test_lost_entry_is_no_longer_announced(self):
         known = KnownEntries()
-        known.recall([ONE, TWO], 0.0)
-        known.joined(ONE)
-        assert known.named(LOST_ENTRY_ANNOUNCE_SECONDS) == {ONE}
-        assert known.kept(LOST_ENTRY_ANNOUNCE_SECONDS) == {ONE, TWO}
+        known.recall([FIRST, SECOND], 0.0)
+        known.joined(FIRST)
+        assert known.named(LOST_ENTRY_ANNOUNCE_SECONDS) == {FIRST}
+        assert known.kept(LOST_ENTRY_ANNOUNCE_SECONDS) == {FIRST, SECOND}
 
     def test_stored_over_a_second_loss(self):
         """Entry VMs are lost first, and the control VMs a few seconds later."""
         known = KnownEntries()
-        known.joined(ONE)
-        known.left(ONE, 10.0)
-        assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS / 2) == {ONE}
+        known.joined(FIRST)
+        known.left(FIRST, 10.0)
+        assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS / 2) == {FIRST}
         known.forget(10.0 + LOST_ENTRY_STORE_SECONDS)
         assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS) == set()
 
     def test_overlapping_connections(self):
         """A new connection is opened before the end of the old one is detected."""
         known = KnownEntries()
-        known.joined(ONE)
-        known.joined(ONE)
-        known.left(ONE, 1.0)
-        assert known.follows(ONE)
+        known.joined(FIRST)
+        known.joined(FIRST)
+        known.left(FIRST, 1.0)
+        assert known.follows(FIRST)
--- a/tests/coordination/test_limiters.py
+++ b/tests/coordination/test_limiters.py
@@ -22,22 +22,24 @@
 START = ("i-1", 7)
 
 
-def ask(host: str = "a", rate: float = 1.0, silent_ms: float = 0.0, patience_ms: float = 0) -> Ask:
+def make_query(
+    host: str = "a", rate: float = 1.0, silent_ms: float = 0.0, patience_ms: float = 0
+) -> Ask:
     """Return a query for a permit."""
     return Ask(host, START, rate, patience_ms, silent_ms)
 
 
-def granted(limiter: Limiter, seconds: float, rate: float, place: int = 0, **more) -> int:
+def count_granted(limiter: Limiter, seconds: float, rate: float, place: int = 0, **more) -> int:
     """Return how many permits a limiter grants to a VM that asks 100 times a second."""
     count = 0
     for turn in range(int(seconds * 100)):
         now = 20_000 + turn * 10
-        verdict = limiter.decide(ask(rate=rate, **more), place, True, now)
+        verdict = limiter.decide(make_query(rate=rate, **more), place, True, now)
         count += verdict.outcome is Outcome.GRANTED
     return count
 
 
-def running() -> Limiter:
+def running_limiter() -> Limiter:
     """Return a limiter that has been running for 20 s."""
     limiter = Limiter(0)
     for second in range(21):
@@ -86,76 +88,82 @@
 
     @pytest.mark.parametrize("rate", [0.5, 1.0, 4.0, 50.0])
     def test_first_grants_the_whole_rate(self, rate):
-        assert rate * 20 <= granted(running(), 20, rate) <= rate * 20 + 2
+        assert rate * 20 <= count_granted(running_limiter(), 20, rate) <= rate * 20 + 2
 
     def test_backup_grants_a_small_share(self):
-        assert granted(running(), 20, 10.0, place=1) <= 10.0 * 0.15 * 20 + 1
+        assert count_granted(running_limiter(), 20, 10.0, place=1) <= 10.0 * 0.15 * 20 + 1
 
     def test_backup_is_asked_again_soon(self):
         """VMs must not wait seconds for a backup limiter's token once the first one is back."""
-        limiter = running()
-        limiter.decide(ask(), 1, True, 20_000)
-        assert limiter.decide(ask(), 1, True, 20_000) == (Outcome.LATER, BACKUP_MAX_WAIT_MS)
+        limiter = running_limiter()
+        limiter.decide(make_query(), 1, True, 20_000)
+        assert limiter.decide(make_query(), 1, True, 20_000) == (Outcome.LATER, BACKUP_MAX_WAIT_MS)
 
     def test_backup_takes_over_from_silent_limiters(self):
-        count = granted(running(), 20, 10.0, place=1, silent_ms=TAKE_OVER_MS)
+        count = count_granted(running_limiter(), 20, 10.0, place=1, silent_ms=TAKE_OVER_MS)
         assert count >= 200
 
     def test_vm_without_quorum_grants_a_small_share(self):
-        verdicts = [running().decide(ask(rate=10.0), 0, False, 20_000) for _ in range(1)]
+        verdicts = [
+            running_limiter().decide(make_query(rate=10.0), 0, False, 20_000) for _ in range(1)
+        ]
         assert verdicts[0].outcome is Outcome.GRANTED
-        limiter = running()
+        limiter = running_limiter()
         outcomes = [
-            limiter.decide(ask(rate=10.0), 0, False, 20_000 + turn * 10).outcome
+            limiter.decide(make_query(rate=10.0), 0, False, 20_000 + turn * 10).outcome
             for turn in range(2_000)
         ]
         assert outcomes.count(Outcome.GRANTED) <= 10.0 * 0.15 * 20 + 1
 
     def test_other_vm_grants_nothing(self):
-        assert running().decide(ask(), None, True, 20_000).outcome is Outcome.ELSEWHERE
+        assert (
+            running_limiter().decide(make_query(), None, True, 20_000).outcome is Outcome.ELSEWHERE
+        )
 
     def test_limit_of_zero_still_grants_some(self):
         """A server with a limit of zero must not be excluded permanently."""
-        assert 1 <= granted(running(), 40, 0.0) <= 6
+        assert 1 <= count_granted(running_limiter(), 40, 0.0) <= 6
 
     def test_restart(self):
         """A restarted limiter must not grant its burst again."""
         limiter = Limiter(0)
-        assert limiter.decide(ask(), 0, True, STARTUP_QUIET_MS / 2).outcome is Outcome.ELSEWHERE
-        assert limiter.decide(ask(), 0, True, STARTUP_QUIET_MS + 1).outcome is Outcome.LATER
+        assert (
+            limiter.decide(make_query(), 0, True, STARTUP_QUIET_MS / 2).outcome is Outcome.ELSEWHERE
+        )
+        assert limiter.decide(make_query(), 0, True, STARTUP_QUIET_MS + 1).outcome is Outcome.LATER
 
     def test_stall(self):
         """A limiter that resumes after a stall grants nothing: another may have taken over."""
-        limiter = running()
-        assert limiter.decide(ask(), 0, True, 20_000).outcome is Outcome.GRANTED
+        limiter = running_limiter()
+        assert limiter.decide(make_query(), 0, True, 20_000).outcome is Outcome.GRANTED
         thawed = 20_000 + STALL_MS + 1
-        assert limiter.decide(ask(), 0, True, thawed).outcome is Outcome.ELSEWHERE
+        assert limiter.decide(make_query(), 0, True, thawed).outcome is Outcome.ELSEWHERE
 
     def test_refusal_has_retry_time(self):
-        limiter = running()
+        limiter = running_limiter()
         for _ in range(2):
-            limiter.decide(ask(), 0, True, 20_000)
-        verdict = limiter.decide(ask(), 0, True, 20_000)
+            limiter.decide(make_query(), 0, True, 20_000)
+        verdict = limiter.decide(make_query(), 0, True, 20_000)
         assert verdict == (Outcome.LATER, 1_000)
-        assert limiter.decide(ask(patience_ms=1_000), 0, True, 20_000).wait_ms == 1_000
+        assert limiter.decide(make_query(patience_ms=1_000), 0, True, 20_000).wait_ms == 1_000
 
     @pytest.mark.parametrize("vms", [7, 24, 420])
     def test_queries_do_not_grow_with_the_fleet(self, vms):
-        limiter = running()
+        limiter = running_limiter()
         asks_at = dict.fromkeys(range(vms), 20_000.0)
         asked = 0
         for now in range(20_000, 50_000, 10):
             for vm, at in asks_at.items():
                 if at <= now:
                     asked += now >= 30_000
-                    verdict = limiter.decide(ask(f"vm-{vm}"), 0, True, now)
+                    verdict = limiter.decide(make_query(f"vm-{vm}"), 0, True, now)
                     asks_at[vm] = now + max(10.0, verdict.wait_ms)
             if now % 1_000 == 0:
                 limiter.tick(now)
         assert asked / 20 <= 30
 
     def test_dropped_with_its_server(self):
-        limiter = running()
-        limiter.decide(ask(), 0, True, 20_000)
+        limiter = running_limiter()
+        limiter.decide(make_query(), 0, True, 20_000)
         limiter.forget(["i-2"])
         assert not limiter._buckets
--- a/tests/core/test_standstill.py
+++ b/tests/core/test_standstill.py
@@ -15,7 +15,7 @@
 )
 
 
-def ticked(*times: float) -> Standstill:
+def detector_after_ticks(*times: float) -> Standstill:
     """Return a detector created at 0 with ticks at the given times."""
     standstill = Standstill(0.0)
     for now in times:
@@ -27,21 +27,23 @@
     """The earliest time at which a request may have arrived."""
 
     def test_without_stalls(self):
-        assert ticked(0.05, 0.1, 0.15).arrival(0.16) == 0.16
+        assert detector_after_ticks(0.05, 0.1, 0.15).arrival(0.16) == 0.16
 
     def test_read_before_the_first_tick_after_a_stall(self):
         """The request and the tick are due at the same time, and the request is handled first."""
-        assert ticked(0.05).arrival(3.1) == 0.05
+        assert detector_after_ticks(0.05).arrival(3.1) == 0.05
 
     def test_read_just_after_a_stall(self):
-        assert ticked(0.05, 3.1).arrival(3.1 + READ_DELAY_SECONDS / 2) == 0.05
+        assert detector_after_ticks(0.05, 3.1).arrival(3.1 + READ_DELAY_SECONDS / 2) == 0.05
 
     def test_consecutive_stalls_are_merged(self):
         """The process runs only briefly between two stalls and has not read the request yet."""
-        assert ticked(0.05, 2.0, 2.0 + READ_DELAY_SECONDS / 2, 4.0).arrival(4.01) == 0.05
+        assert (
+            detector_after_ticks(0.05, 2.0, 2.0 + READ_DELAY_SECONDS / 2, 4.0).arrival(4.01) == 0.05
+        )
 
     def test_read_long_after_a_stall(self):
-        standstill = ticked(0.05, 3.1)
+        standstill = detector_after_ticks(0.05, 3.1)
         now = 3.1
         while now < 3.1 + READ_DELAY_SECONDS:
             now += TICK_SECONDS
@@ -53,10 +55,10 @@
     """The final response is sent earlier on a VM whose timers are late."""
 
     def test_without_late_timers(self):
-        assert ticked(TICK_SECONDS, 2 * TICK_SECONDS).lateness == pytest.approx(0)
+        assert detector_after_ticks(TICK_SECONDS, 2 * TICK_SECONDS).lateness == pytest.approx(0)
 
     def test_lateness_decays(self):
-        standstill = ticked(TICK_SECONDS, 2 * TICK_SECONDS + 0.08)
+        standstill = detector_after_ticks(TICK_SECONDS, 2 * TICK_SECONDS + 0.08)
         assert standstill.lateness == pytest.approx(0.08)
         now = 2 * TICK_SECONDS + 0.08
         for _ in range(int(LATENESS_HALF_LIFE_SECONDS / TICK_SECONDS)):
