--- a/tests/coordination/test_limiters.py
+++ b/tests/coordination/test_limiters.py
@@ -1,17 +1,17 @@
-"""The VMs that grant permits for a limited server."""
+"""Tests of the VMs that grant permits for rate-limited servers."""
 
 import pytest
 
 from siskinspoke.coordination.limiters import (
-    FIRST_BURST,
-    LEAST_RATE,
-    MOST_LIMITERS,
+    BACKUP_BURST,
+    BACKUP_MAX_WAIT_MS,
+    BACKUP_RATE_SHARE,
+    MAX_LIMITERS,
+    MIN_RATE,
     PERMIT_MS,
-    QUIET_MS,
-    SPARE_BURST,
-    SPARE_SHARE,
-    SPARE_WAIT_MS,
-    STILL_MS,
+    PRIMARY_BURST,
+    STALL_MS,
+    STARTUP_QUIET_MS,
     TAKE_OVER_MS,
     Ask,
     Limiter,
@@ -22,23 +22,25 @@
 START = ("i-1", 7)
 
 
-def ask(host: str = "a", rate: float = 1.0, silent_ms: float = 0.0, patience_ms: float = 0) -> Ask:
-    """Return a question for a permit."""
+def make_query(
+    host: str = "a", rate: float = 1.0, silent_ms: float = 0.0, patience_ms: float = 0
+) -> Ask:
+    """Return a query for a permit."""
     return Ask(host, START, rate, patience_ms, silent_ms)
 
 
-def granted(limiter: Limiter, seconds: float, rate: float, place: int = 0, **more) -> int:
-    """Return how many permits a limiter grants to a VM that asks a hundred times a second."""
+def count_granted(limiter: Limiter, seconds: float, rate: float, place: int = 0, **more) -> int:
+    """Return how many permits a limiter grants to a VM that asks 100 times a second."""
     count = 0
     for turn in range(int(seconds * 100)):
         now = 20_000 + turn * 10
-        verdict = limiter.decide(ask(rate=rate, **more), place, True, now)
+        verdict = limiter.decide(make_query(rate=rate, **more), place, True, now)
         count += verdict.outcome is Outcome.GRANTED
     return count
 
 
-def running() -> Limiter:
-    """Return a limiter that has run for 20 s."""
+def running_limiter() -> Limiter:
+    """Return a limiter that has been running for 20 s."""
     limiter = Limiter(0)
     for second in range(21):
         limiter.tick(second * 1_000)
@@ -49,18 +51,18 @@
 
 
 class TestLimitersOf:
-    """Who may grant permits for a server."""
+    """Which VMs may grant permits for a server."""
 
-    def test_few_and_of_the_servers_domain(self):
+    def test_limited_number_from_the_servers_domain(self):
         found = limiters_of("i-1", "a", VMS)
-        assert len(found) == MOST_LIMITERS
+        assert len(found) == MAX_LIMITERS
         assert {VMS[host] for host in found} == {"a"}
 
-    def test_others_where_the_domain_has_none(self):
-        assert len(limiters_of("i-1", "c", VMS)) == MOST_LIMITERS
+    def test_other_domains_as_fallback(self):
+        assert len(limiters_of("i-1", "c", VMS)) == MAX_LIMITERS
         assert limiters_of("i-1", "a", {"10.0.1": "b"}) == ("10.0.1",)
 
-    def test_all_vms_draw_the_same(self):
+    def test_all_vms_choose_the_same(self):
         backwards = dict(reversed(VMS.items()))
         assert limiters_of("i-1", "a", VMS) == limiters_of("i-1", "a", backwards)
 
@@ -70,15 +72,15 @@
 
 
 class TestSum:
-    """What all limiters of a server may grant together."""
+    """The total that all limiters of a server may grant."""
 
     @pytest.mark.parametrize("rate", [0.0, 0.5, 1.0, 10.0, 1_000.0])
-    def test_within_the_promise(self, rate):
-        """In any 4 s a server gets one and a half times its limit and five requests at most."""
-        spares = MOST_LIMITERS - 1
+    def test_within_the_bound(self, rate):
+        """In any 4 s a server gets at most 1.5 times its limit plus five requests."""
+        spares = MAX_LIMITERS - 1
         seconds = 4.0 + PERMIT_MS / 1000
-        rates = (1 + spares * SPARE_SHARE) * max(LEAST_RATE, rate) * seconds
-        assert rates + FIRST_BURST + spares * SPARE_BURST <= 1.5 * 4.0 * rate + 5
+        rates = (1 + spares * BACKUP_RATE_SHARE) * max(MIN_RATE, rate) * seconds
+        assert rates + PRIMARY_BURST + spares * BACKUP_BURST <= 1.5 * 4.0 * rate + 5
 
 
 class TestLimiter:
@@ -86,76 +88,82 @@
 
     @pytest.mark.parametrize("rate", [0.5, 1.0, 4.0, 50.0])
     def test_first_grants_the_whole_rate(self, rate):
-        assert rate * 20 <= granted(running(), 20, rate) <= rate * 20 + 2
+        assert rate * 20 <= count_granted(running_limiter(), 20, rate) <= rate * 20 + 2
 
-    def test_spare_grants_a_small_share(self):
-        assert granted(running(), 20, 10.0, place=1) <= 10.0 * 0.15 * 20 + 1
+    def test_backup_grants_a_small_share(self):
+        assert count_granted(running_limiter(), 20, 10.0, place=1) <= 10.0 * 0.15 * 20 + 1
 
-    def test_spare_is_asked_again_soon(self):
-        """VMs waited for seconds for a spare's next token after the first limiter was back."""
-        limiter = running()
-        limiter.decide(ask(), 1, True, 20_000)
-        assert limiter.decide(ask(), 1, True, 20_000) == (Outcome.LATER, SPARE_WAIT_MS)
+    def test_backup_is_asked_again_soon(self):
+        """VMs must not wait seconds for a backup limiter's token once the first one is back."""
+        limiter = running_limiter()
+        limiter.decide(make_query(), 1, True, 20_000)
+        assert limiter.decide(make_query(), 1, True, 20_000) == (Outcome.LATER, BACKUP_MAX_WAIT_MS)
 
-    def test_spare_takes_over_from_silent_limiters(self):
-        count = granted(running(), 20, 10.0, place=1, silent_ms=TAKE_OVER_MS)
+    def test_backup_takes_over_from_silent_limiters(self):
+        count = count_granted(running_limiter(), 20, 10.0, place=1, silent_ms=TAKE_OVER_MS)
         assert count >= 200
 
     def test_vm_without_quorum_grants_a_small_share(self):
-        verdicts = [running().decide(ask(rate=10.0), 0, False, 20_000) for _ in range(1)]
+        verdicts = [
+            running_limiter().decide(make_query(rate=10.0), 0, False, 20_000) for _ in range(1)
+        ]
         assert verdicts[0].outcome is Outcome.GRANTED
-        limiter = running()
+        limiter = running_limiter()
         outcomes = [
-            limiter.decide(ask(rate=10.0), 0, False, 20_000 + turn * 10).outcome
+            limiter.decide(make_query(rate=10.0), 0, False, 20_000 + turn * 10).outcome
             for turn in range(2_000)
         ]
         assert outcomes.count(Outcome.GRANTED) <= 10.0 * 0.15 * 20 + 1
 
-    def test_vm_that_is_no_limiter_grants_nothing(self):
-        assert running().decide(ask(), None, True, 20_000).outcome is Outcome.ELSEWHERE
+    def test_other_vm_grants_nothing(self):
+        assert (
+            running_limiter().decide(make_query(), None, True, 20_000).outcome is Outcome.ELSEWHERE
+        )
 
-    def test_limit_of_zero_is_asked_for_again(self):
-        """A server that names a limit of zero would be left out for good."""
-        assert 1 <= granted(running(), 40, 0.0) <= 6
+    def test_limit_of_zero_still_grants_some(self):
+        """A server with a limit of zero must not be excluded permanently."""
+        assert 1 <= count_granted(running_limiter(), 40, 0.0) <= 6
 
-    def test_started_anew(self):
-        """A limiter that started anew granted its burst again."""
+    def test_restart(self):
+        """A restarted limiter must not grant its burst again."""
         limiter = Limiter(0)
-        assert limiter.decide(ask(), 0, True, QUIET_MS / 2).outcome is Outcome.ELSEWHERE
-        assert limiter.decide(ask(), 0, True, QUIET_MS + 1).outcome is Outcome.LATER
-
-    def test_stood_still(self):
-        """A limiter thawed and granted at once, while another had taken its place."""
-        limiter = running()
-        assert limiter.decide(ask(), 0, True, 20_000).outcome is Outcome.GRANTED
-        thawed = 20_000 + STILL_MS + 1
-        assert limiter.decide(ask(), 0, True, thawed).outcome is Outcome.ELSEWHERE
-
-    def test_refusal_says_when_to_come_back(self):
-        limiter = running()
+        assert (
+            limiter.decide(make_query(), 0, True, STARTUP_QUIET_MS / 2).outcome is Outcome.ELSEWHERE
+        )
+        assert limiter.decide(make_query(), 0, True, STARTUP_QUIET_MS + 1).outcome is Outcome.LATER
+
+    def test_stall(self):
+        """A limiter that resumes after a stall grants nothing: another may have taken over."""
+        limiter = running_limiter()
+        assert limiter.decide(make_query(), 0, True, 20_000).outcome is Outcome.GRANTED
+        thawed = 20_000 + STALL_MS + 1
+        assert limiter.decide(make_query(), 0, True, thawed).outcome is Outcome.ELSEWHERE
+
+    def test_refusal_has_retry_time(self):
+        limiter = running_limiter()
         for _ in range(2):
-            limiter.decide(ask(), 0, True, 20_000)
-        verdict = limiter.decide(ask(), 0, True, 20_000)
+            limiter.decide(make_query(), 0, True, 20_000)
+        verdict = limiter.decide(make_query(), 0, True, 20_000)
         assert verdict == (Outcome.LATER, 1_000)
-        assert limiter.decide(ask(patience_ms=1_000), 0, True, 20_000).wait_ms == 1_000
+        assert limiter.decide(make_query(patience_ms=1_000), 0, True, 20_000).wait_ms == 1_000
 
     @pytest.mark.parametrize("vms", [7, 24, 420])
-    def test_questions_do_not_grow_with_the_fleet(self, vms):
-        limiter = running()
+    def test_queries_do_not_grow_with_the_fleet(self, vms):
+        limiter = running_limiter()
         asks_at = dict.fromkeys(range(vms), 20_000.0)
         asked = 0
         for now in range(20_000, 50_000, 10):
             for vm, at in asks_at.items():
                 if at <= now:
                     asked += now >= 30_000
-                    verdict = limiter.decide(ask(f"vm-{vm}"), 0, True, now)
+                    verdict = limiter.decide(make_query(f"vm-{vm}"), 0, True, now)
                     asks_at[vm] = now + max(10.0, verdict.wait_ms)
             if now % 1_000 == 0:
                 limiter.tick(now)
         assert asked / 20 <= 30
 
-    def test_forgotten_with_its_server(self):
-        limiter = running()
-        limiter.decide(ask(), 0, True, 20_000)
+    def test_dropped_with_its_server(self):
+        limiter = running_limiter()
+        limiter.decide(make_query(), 0, True, 20_000)
         limiter.forget(["i-2"])
         assert not limiter._buckets
