--- a/siskinspoke/gateway/attempts.py
+++ b/siskinspoke/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that are open at backend servers, to be ended when a server is gone."""
+"""The open attempts at backend servers, which are ended when a server is gone."""
 
 from __future__ import annotations
 
@@ -12,120 +12,121 @@
 from siskinspoke.coordination.liveness import OVERDUE_AGAIN_MS
 from siskinspoke.gateway.permits import Permit
 
-STARTED_AGAIN = "the server has started anew"
+RESTARTED = "the server has started anew"
 UNREACHABLE = "the server cannot be reached any more"
-SLOW = "no answer in time"
+ANSWER_TIMED_OUT = "no answer in time"
 MOVED = "its engine reads for longer than the stream may pause"
-# A silent attempt that may not go on elsewhere is thought of again after this time: a slot of an
-# engine is free every fifth of a second where all are taken.
+# Interval at which a silent attempt that cannot fail over is checked again: where all slots of an
+# engine are taken, one is freed every 0.2 s.
 ASK_AGAIN_SECONDS = 0.2
 
 
 class Attempt:
-    """An open attempt at one server or several; ``lost`` says why it was ended.
-
-    ``gone`` means that one of the servers is.  In milliseconds: ``doubt_at`` is when
-    ``reconsider`` is to be asked why to end it; it may put the moment off and return nothing.
-    ``writes`` tells that its stream has begun.
-    ``move_on`` takes the request's next step, and tells whether there is one.  ``sent`` is False
-    until there is a connection.  ``permit`` is leave to send to a server that has named a rate
-    limit, and ``patience_ms`` how long the attempt may wait for one.
+    """An open attempt at one or several servers; ``end_reason`` says why it was ended.
+
+    ``server_lost`` tells that one of the servers is gone.  At ``recheck_at``, in milliseconds,
+    ``reconsider`` is called; it returns the reason to end the attempt, or postpones ``recheck_at``
+    and returns "".  ``is_streaming`` tells that the stream has begun.  ``fail_over`` plans the
+    request's next attempt, and tells whether there is one.  ``sent`` is False until there is a
+    connection.  ``permit`` allows sending to a server that has set a rate limit, and
+    ``permit_wait_ms`` is how long the attempt may wait for one.
     """
 
-    def __init__(self, servers: Iterable[ServerRecord], move_on: Callable[[], bool]):
+    def __init__(self, servers: Iterable[ServerRecord], fail_over: Callable[[], bool]):
         self._servers = {item.announcement.server: item for item in servers}
-        self.move_on = move_on
-        self._waiting: trio.CancelScope | None = None
-        self._waits_from = 0.0
+        self.fail_over = fail_over
+        self._wait_scope: trio.CancelScope | None = None
+        self._waiting_since = 0.0
         self._due_ms = math.inf
-        self.doubt_at = math.inf
+        self.recheck_at = math.inf
         self.sent = False
-        self.writes = False
+        self.is_streaming = False
         self.reconsider: Callable[[Attempt, float], str] | None = None
-        self.lost = ""
-        self.gone = False
+        self.end_reason = ""
+        self.server_lost = False
         self.permit: Permit | None = None
-        self.patience_ms = 0.0
+        self.permit_wait_ms = 0.0
 
     @property
     def servers(self) -> list[ServerRecord]:
-        """Return the servers that the attempt relies on."""
+        """Return the servers that the attempt depends on."""
         return list(self._servers.values())
 
-    def within(self, seconds: float) -> trio.CancelScope:
-        """Return a scope in which to wait for the servers, for a bounded time.
+    def wait_scope(self, seconds: float) -> trio.CancelScope:
+        """Return a cancel scope in which to wait for the servers, for a bounded time.
 
-        What is on its way to the client must stay outside: it would be cut in the middle.
+        Writes to the client must stay outside of it: cancellation would cut them in the middle.
         """
-        self._waiting = trio.move_on_after(0.0 if self.lost else seconds)
-        return self._waiting
+        self._wait_scope = trio.move_on_after(0.0 if self.end_reason else seconds)
+        return self._wait_scope
 
-    async def impatience(self, seconds: float) -> None:
-        """Return after a time of silence, once the request can go on elsewhere.
+    async def wait_for_failover(self, seconds: float) -> None:
+        """Return after a time of silence, once the request can continue elsewhere.
 
-        An answer that is late is worth more than none: to give up where nobody else can take the
-        request would fail it, and throw the server's work away, for nothing.
+        A late answer is better than none: abandoning the attempt where no other server can take the
+        request would fail it and discard the server's work.
         """
         await trio.sleep(seconds)
-        while not self.move_on():
+        while not self.fail_over():
             await trio.sleep(ASK_AGAIN_SECONDS)
 
-    def expect_within(self, due_ms: float, now: float) -> None:
-        """Note within which time something should come from the servers."""
-        self._waits_from = now
+    def expect_answer_within(self, due_ms: float, now: float) -> None:
+        """Set the time within which the servers should send something."""
+        self._waiting_since = now
         self._due_ms = due_ms
 
-    def is_overdue(self, now: float, patience: float) -> bool:
-        """Tell whether nothing has come for so many times the time in which it should."""
-        return now - self._waits_from >= self._due_ms * patience
+    def is_overdue(self, now: float, patience_factor: float) -> bool:
+        """Tell whether ``patience_factor`` times the expected time has passed without an answer."""
+        return now - self._waiting_since >= self._due_ms * patience_factor
 
-    def next_thought_ms(self, now: float, patience: float) -> float:
-        """Return how long nothing about this attempt needs to be thought of."""
-        overdue = self._waits_from + self._due_ms * patience - now
-        return min(overdue, self.doubt_at - now)
+    def next_check_ms(self, now: float, patience_factor: float) -> float:
+        """Return how long this attempt needs no check."""
+        overdue = self._waiting_since + self._due_ms * patience_factor - now
+        return min(overdue, self.recheck_at - now)
 
-    def rely_on(self, servers: Iterable[ServerRecord]) -> None:
-        """Go on with these servers only; what becomes of the others no longer matters."""
+    def depend_on(self, servers: Iterable[ServerRecord]) -> None:
+        """Depend on these servers only; the others may fail without ending the attempt."""
         self._servers = {item.announcement.server: item for item in servers}
 
     def end_if_restarted(self, server: str, incarnation: int) -> None:
-        """End the attempt if one of its servers has started since.
+        """End the attempt if one of its servers has restarted since.
 
-        Without this a caller waits for a process that is gone until the silence is long enough,
-        1.4 s in a stream and up to the deadline of a call that may not be repeated.
+        Without this, a caller waits for a process that is gone until the silence is long enough:
+        1.4 s in a stream, and up to the deadline for a call that may not be retried.
         """
         known = self._servers.get(server)
         if known is not None and known.announcement.incarnation < incarnation:
-            self._end(STARTED_AGAIN, gone=True)
+            self._end(RESTARTED, server_lost=True)
 
     def end_if_lost(self, server: str, incarnation: int) -> None:
-        """End the attempt if it relies on a server that cannot be reached, and can go elsewhere.
+        """End the attempt if it depends on an unreachable server and can continue elsewhere.
 
-        The answer of one that cannot could still come, after a cut.  One that is not sent yet finds
-        out by its own connection: ended here it would count as an attempt, and cost a repeat.
+        After a partition heals, the server's answer could still arrive.  An attempt that is not
+        sent yet learns of the loss from its own connection: ended here it would count as an attempt
+        and use up a retry.
         """
         known = self._servers.get(server)
         if not self.sent:
             return
-        if known is not None and known.start == (server, incarnation) and self.move_on():
-            self._end(UNREACHABLE, gone=True)
+        if known is not None and known.start == (server, incarnation) and self.fail_over():
+            self._end(UNREACHABLE, server_lost=True)
 
-    def doubt(self, now: float) -> None:
-        """End the attempt if another server is the better bet."""
-        self.doubt_at = math.inf
+    def recheck(self, now: float) -> None:
+        """End the attempt if another server is expected to answer sooner."""
+        self.recheck_at = math.inf
         reason = self.reconsider(self, now) if self.reconsider is not None else ""
         if reason:
-            self._end(reason, gone=False)
+            self._end(reason, server_lost=False)
 
-    def relies_on_any(self, servers: Iterable[str]) -> bool:
-        """Tell whether the attempt relies on one of some servers."""
+    def depends_on_any(self, servers: Iterable[str]) -> bool:
+        """Tell whether the attempt depends on any of some servers."""
         return not self._servers.keys().isdisjoint(servers)
 
-    def _end(self, reason: str, gone: bool) -> None:
-        self.lost = reason
-        self.gone = gone
-        if self._waiting is not None:
-            self._waiting.cancel()
+    def _end(self, reason: str, server_lost: bool) -> None:
+        self.end_reason = reason
+        self.server_lost = server_lost
+        if self._wait_scope is not None:
+            self._wait_scope.cancel()
 
 
 class OpenAttempts:
@@ -133,67 +134,69 @@
 
     def __init__(self) -> None:
         self._attempts: set[Attempt] = set()
-        self._some = trio.Event()
+        self._any_open = trio.Event()
 
     @contextmanager
-    def attempt(self, *servers: ServerRecord, move_on: Callable[[], bool]) -> Iterator[Attempt]:
-        """Keep an attempt while the context is open; its waits end if a server is gone."""
-        found = Attempt(servers, move_on)
+    def attempt(self, *servers: ServerRecord, fail_over: Callable[[], bool]) -> Iterator[Attempt]:
+        """Register an attempt while the context is open; its waits end if a server is gone."""
+        found = Attempt(servers, fail_over)
         self._attempts.add(found)
-        self._some.set()
+        self._any_open.set()
         try:
             yield found
         finally:
             self._attempts.discard(found)
             if not self._attempts:
-                self._some = trio.Event()
+                self._any_open = trio.Event()
 
-    async def some_open(self) -> None:
-        """Wait until there are attempts."""
-        await self._some.wait()
+    async def wait_until_open(self) -> None:
+        """Wait until there is an open attempt."""
+        await self._any_open.wait()
 
-    def overdue(self, now: float, patience: float) -> list[ServerRecord]:
-        """Return the servers of which something should have come by now.
+    def overdue(self, now: float, patience_factor: float) -> list[ServerRecord]:
+        """Return the servers that should have sent something by now.
 
-        ``patience`` is how many times the time in which it should come is waited.
+        The expected time is multiplied by ``patience_factor``.
         """
         found = {}
         for item in self._attempts:
-            if item.lost or not item.is_overdue(now, patience):
+            if item.end_reason or not item.is_overdue(now, patience_factor):
                 continue
-            item.expect_within(OVERDUE_AGAIN_MS, now)
+            item.expect_answer_within(OVERDUE_AGAIN_MS, now)
             found |= {server.start: server for server in item.servers}
         return list(found.values())
 
-    def next_thought_ms(self, now: float, patience: float) -> float:
-        """Return how long nothing about any attempt needs to be thought of."""
-        return min((item.next_thought_ms(now, patience) for item in self._waiting()), default=0.0)
+    def next_check_ms(self, now: float, patience_factor: float) -> float:
+        """Return how long no attempt needs a check."""
+        return min(
+            (item.next_check_ms(now, patience_factor) for item in self._active()), default=0.0
+        )
 
-    def doubt(self, now: float) -> None:
-        """Think again about the attempts whose first token should be there by now."""
-        for item in self._waiting():
-            if item.doubt_at <= now:
-                item.doubt(now)
+    def recheck(self, now: float) -> None:
+        """Reconsider the attempts whose first token should have arrived by now."""
+        for item in self._active():
+            if item.recheck_at <= now:
+                item.recheck(now)
 
-    def think_of_streams_at(self, servers: Iterable[str], now: float) -> None:
-        """Have the streams reconsidered that are written by some of these servers."""
-        for item in self._waiting():
-            if item.writes and item.relies_on_any(servers):
-                item.doubt_at = min(item.doubt_at, now)
+    def recheck_streams_at(self, servers: Iterable[str], now: float) -> None:
+        """Have the streams reconsidered that some of these servers are writing."""
+        for item in self._active():
+            if item.is_streaming and item.depends_on_any(servers):
+                item.recheck_at = min(item.recheck_at, now)
 
     def started(self, server: str, incarnation: int) -> int:
-        """End the attempts at a server's former starts; return how many there were."""
-        before = self._waiting()
+        """End the attempts at earlier incarnations of a server; return how many there were."""
+        before = self._active()
         for item in before:
             item.end_if_restarted(server, incarnation)
-        return sum(bool(item.lost) for item in before)
+        return sum(bool(item.end_reason) for item in before)
 
-    def lost(self, server: str, incarnation: int) -> int:
+    def end_lost(self, server: str, incarnation: int) -> int:
         """End the attempts at a server that cannot be reached; return how many there were."""
-        before = self._waiting()
+        before = self._active()
         for item in before:
             item.end_if_lost(server, incarnation)
-        return sum(bool(item.lost) for item in before)
+        return sum(bool(item.end_reason) for item in before)
 
-    def _waiting(self) -> list[Attempt]:
-        return [item for item in self._attempts if not item.lost]
+    def _active(self) -> list[Attempt]:
+        return [item for item in self._attempts if not item.end_reason]
--- a/siskinspoke/gateway/clients.py
+++ b/siskinspoke/gateway/clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: read requests, find their routes, answer each of them once."""
+"""Client connections: read requests, resolve their routes and send one answer to each."""
 
 import trio
 
@@ -6,7 +6,7 @@
 from siskinspoke.core.codes import FACTS, Failure, ResultCode
 from siskinspoke.core.supervise import note_fault
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.plain import Whole, retry_after, serve_plain
+from siskinspoke.gateway.plain import WholeAnswer, retry_after, serve_plain
 from siskinspoke.gateway.streams import StreamCutError, serve_stream
 from siskinspoke.gateway.wire import Call
 from siskinspoke.transport.early import BACKLOG, take_early
@@ -18,34 +18,35 @@
 )
 from siskinspoke.transport.sockets import tune
 
-# The last word leaves this long before the route's timeout: it must cross the network, and
-# timers fire some milliseconds late.
-LAST_WORD_MS = 40.0
-# A client reuses a connection up to the idle limit; the answer that offered the connection
-# needs time to reach it, and its next request to reach us.
+# The final answer is sent this long before the route's timeout, to allow for the network and for
+# timers that fire some milliseconds late.  Milliseconds.
+ANSWER_MARGIN_MS = 40.0
+# Added to the advertised idle limit: the answer that offered the connection takes time to reach the
+# client, and so does the client's next request.
 IDLE_GRACE_SECONDS = 1.0
-# A connection of a VM that is about to stop may bring a request that is on its way already.
-LAST_LOOK_SECONDS = 0.1
-# A request that another VM will take at once need not wait; zero would look like a fault.
-AT_ANOTHER_MS = 10
-# How long a VM that knows no route yet asks its callers to wait: control VMs that start with it
-# take a second to elect and hear all servers within 1.2 s.  Milliseconds.
-NOT_READY_MS = 1_200
+# Read timeout of an idle connection while this VM drains: a request may already be on its way.
+DRAINING_IDLE_SECONDS = 0.1
+# Retry-After for requests refused while draining: another VM accepts them at once.  Not zero, which
+# would look like an error.  Milliseconds.
+DRAINING_RETRY_AFTER_MS = 10
+# Retry-After while this VM has no configuration: control VMs that start with it take a second to
+# elect a leader and hear from all servers within 1.2 s.  Milliseconds.
+UNCONFIGURED_RETRY_AFTER_MS = 1_200
 
 
-# How long after its start a VM lets requests wait for the first configuration: control VMs that
-# start with it are up 0.2 to 0.6 s later.
-START_SECONDS = 0.8
+# How long after its start a VM holds requests until the first configuration arrives: control VMs
+# that start with it are up 0.2 to 0.6 s later.
+CONFIGURATION_WAIT_SECONDS = 0.8
 
 
 class ClientServer:
-    """Own the public address and the connections to it."""
+    """Listens on the public address and serves the connections to it."""
 
     def __init__(self, gateway: Gateway):
         self._gateway = gateway
 
     async def serve(self, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Serve clients forever, first those who have connected while the program was loaded."""
+        """Serve clients forever, beginning with connections accepted while the program loaded."""
         early = take_early(host, port)
         if early is None:
             listeners = await trio.open_tcp_listeners(port, host=host, backlog=BACKLOG)
@@ -59,7 +60,7 @@
         try:
             tune(stream.socket)
         except OSError:
-            # The client was gone before it was heard.
+            # The client disconnected before its first request was read.
             await trio.aclose_forcefully(stream)
             return
         connection = ClientConnection(stream, gateway.limits.header_bytes)
@@ -69,17 +70,18 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             gateway.counters.count("client.broken")
         except Exception as error:
-            # The client sees a closed connection, which promises nothing.
+            # The connection is closed without an answer, which tells the client nothing about its
+            # request.
             note_fault(gateway.log, gateway.counters, "client connection", error)
         finally:
             with trio.CancelScope(shield=True):
                 await connection.close()
 
     async def _serve_request(self, connection: ClientConnection) -> bool:
-        """Read and answer one request; False when the connection is over."""
+        """Read and answer one request; return False when the connection is to be closed."""
         gateway = self._gateway
         limits = gateway.limits
-        if not await self._is_next(connection, limits.idle_ms / 1000 + IDLE_GRACE_SECONDS):
+        if not await self._wait_for_request(connection, limits.idle_ms / 1000 + IDLE_GRACE_SECONDS):
             return False
         try:
             head = None
@@ -93,10 +95,10 @@
             return False
         return await self._answer(connection, head, body)
 
-    async def _is_next(self, connection: ClientConnection, seconds: float) -> bool:
-        """Wait for a client's next request; False when the connection is over."""
+    async def _wait_for_request(self, connection: ClientConnection, seconds: float) -> bool:
+        """Wait for the client's next request; return False on disconnect or timeout."""
         if self._gateway.refusing:
-            seconds = LAST_LOOK_SECONDS
+            seconds = DRAINING_IDLE_SECONDS
         with trio.move_on_after(seconds) as scope:
             self._gateway.idle.add(scope)
             try:
@@ -106,7 +108,7 @@
         return False
 
     async def _refuse_unread(self, connection: ClientConnection, error: BadRequestError) -> None:
-        """Answer a request that could not be read, and end the connection."""
+        """Answer a request that could not be read and close the connection."""
         self._gateway.counters.count("refused.unread")
         if not error.status:
             return
@@ -121,9 +123,9 @@
             await self._send_failure(connection, "", decoded.error)
             return connection.next_cycle()
         call = decoded.ok
-        if gateway.table is None and not await self._until_configured(connection):
+        if gateway.table is None and not await self._wait_for_configuration(connection):
             return False
-        found = self._find(call, arrived_ms)
+        found = self._resolve(call, arrived_ms)
         if isinstance(found, Failure):
             gateway.counters.count(f"refused.{found.code.name.lower()}")
             gateway.log.note(
@@ -141,15 +143,16 @@
         finally:
             gateway.open_requests -= 1
 
-    async def _until_configured(self, connection: ClientConnection) -> bool:
-        """Wait for the configuration of a VM that has just started; False if the client goes.
+    async def _wait_for_configuration(self, connection: ClientConnection) -> bool:
+        """Wait for the first configuration after startup; return False on a client disconnect.
 
-        It comes some ten milliseconds after the first control VM is heard.  A refusal in that
-        time would use up the one retry that most callers have, after a restart of all VMs the
-        only one that could be served.  Later than that nobody can say when it will come.
+        The configuration arrives some ten milliseconds after the first control VM is heard.  A
+        refusal in that time would use up the single retry that most callers have; after a restart
+        of all VMs that is the only attempt that could be served.  After CONFIGURATION_WAIT_SECONDS
+        the time of arrival cannot be predicted, and the request is refused.
         """
         gateway = self._gateway
-        left = gateway.started_at + START_SECONDS - trio.current_time()
+        left = gateway.started_at + CONFIGURATION_WAIT_SECONDS - trio.current_time()
         gone = trio.CancelScope()
         with gone, trio.move_on_after(max(0.0, left)):
             async with trio.open_nursery() as nursery:
@@ -158,13 +161,15 @@
                 nursery.cancel_scope.cancel()
         return not gone.cancelled_caught
 
-    def _find(self, call: Call, arrived_ms: float) -> Request | Failure:
-        """Return the request that a call is, or why it is none."""
+    def _resolve(self, call: Call, arrived_ms: float) -> Request | Failure:
+        """Return the request with its route and customer, or the failure that refuses the call."""
         gateway = self._gateway
         table = gateway.table
         if table is None:
             message = "this VM has no configuration yet"
-            return Failure(ResultCode.NO_SERVER, message, retry_after(gateway, NOT_READY_MS))
+            return Failure(
+                ResultCode.NO_SERVER, message, retry_after(gateway, UNCONFIGURED_RETRY_AFTER_MS)
+            )
         route = table.find(call.host, call.path)
         if route is None:
             return Failure(ResultCode.UNKNOWN_PATH, "no route has this host and path")
@@ -172,25 +177,25 @@
         if table.needs_keys and not route.public and customer is None:
             return Failure(ResultCode.UNAUTHENTICATED, "the key is no customer's")
         if not gateway.time_for(route.kind):
-            return Failure(ResultCode.DRAINING, "this VM is about to stop", AT_ANOTHER_MS)
+            return Failure(ResultCode.DRAINING, "this VM is about to stop", DRAINING_RETRY_AFTER_MS)
         return Request(call, route, customer, arrived_ms, table.version)
 
     async def _serve(self, connection: ClientConnection, request: Request) -> bool:
-        """Serve one request while watching for its client to go."""
+        """Serve one request, and cancel it when its client disconnects."""
         gateway = self._gateway
-        result: Whole | Failure | None = None
+        result: WholeAnswer | Failure | None = None
         request.end = "client gone"
-        closes = gateway.draining
+        close_connection = gateway.draining
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.watch, nursery.cancel_scope)
-                seconds = max(0.0, request.left_ms(now_ms()) - LAST_WORD_MS) / 1000
+                seconds = max(0.0, request.left_ms(now_ms()) - ANSWER_MARGIN_MS) / 1000
                 with trio.move_on_after(seconds) as limit:
-                    result = await self._dispatch(connection, request, closes)
+                    result = await self._dispatch(connection, request, close_connection)
                     request.end = "served"
                 if limit.cancelled_caught:
                     request.end = "timeout"
-                    result = self._too_late(request)
+                    result = self._timeout_failure(request)
                 nursery.cancel_scope.cancel()
         except* StreamCutError:
             request.end = "cut"
@@ -199,7 +204,7 @@
         kept = False
         try:
             if request.end == "served" and result is None:
-                kept = connection.next_cycle() and not closes
+                kept = connection.next_cycle() and not close_connection
             elif request.end == "client gone":
                 kept = False
             elif request.status:
@@ -207,32 +212,32 @@
             elif result is not None:
                 kept = await self._deliver(connection, request, result)
         finally:
-            self._note(request, result)
+            self._log_request(request, result)
         return kept
 
     async def _dispatch(
-        self, connection: ClientConnection, request: Request, closes: bool
-    ) -> Whole | Failure | None:
+        self, connection: ClientConnection, request: Request, close_connection: bool
+    ) -> WholeAnswer | Failure | None:
         match request.route.kind:
             case CallKind.STREAM:
-                return await serve_stream(self._gateway, request, connection, closes)
+                return await serve_stream(self._gateway, request, connection, close_connection)
             case _:
                 return await serve_plain(self._gateway, request)
 
-    def _too_late(self, request: Request) -> Failure:
+    def _timeout_failure(self, request: Request) -> Failure:
         message = "the answer did not come within the time of its route or its caller"
         return Failure(ResultCode.DEADLINE_PASSED, message)
 
     async def _deliver(
-        self, connection: ClientConnection, request: Request, result: Whole | Failure
+        self, connection: ClientConnection, request: Request, result: WholeAnswer | Failure
     ) -> bool:
-        """Send a whole answer or a failure; return whether the connection goes on."""
+        """Send a complete answer or a failure; return whether the connection is kept."""
         match result:
             case Failure():
                 request.end = result.code.name.lower()
                 request.status = FACTS[result.code].status
                 await self._send_failure(connection, request.call.id, result)
-            case Whole(answer=answer, body=body):
+            case WholeAnswer(answer=answer, body=body):
                 request.status = answer.status
                 headers = [*answer.headers, (b"Content-Length", b"%d" % len(body))]
                 if self._gateway.draining:
@@ -249,8 +254,8 @@
             headers.append((b"Connection", b"close"))
         await connection.send_whole(status, headers, body)
 
-    def _note(self, request: Request, result: Whole | Failure | None) -> None:
-        """Write down what became of a request and what decided it."""
+    def _log_request(self, request: Request, result: WholeAnswer | Failure | None) -> None:
+        """Log the outcome of a request and the values that decided it."""
         gateway = self._gateway
         took = now_ms() - request.arrived_ms
         kind = request.route.kind.value
--- a/siskinspoke/gateway/exchange.py
+++ b/siskinspoke/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One small exchange with a backend server, outside any caller's request."""
+"""A short exchange with a backend server, outside of any client's request."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class Reply(NamedTuple):
-    """A server's whole answer to a question or an order."""
+    """A server's complete answer to a question or an order."""
 
     status: int
     body: bytes
@@ -23,20 +23,22 @@
     head: RequestHead,
     body: bytes,
     seconds: float,
-    fresh_ms: float,
+    max_idle_ms: float,
 ) -> Reply | None:
-    """Send one request and return its answer, or None if none came within ``seconds``.
+    """Send one request and return its answer, or None if none arrived within ``seconds``.
 
-    A kept connection is taken if it was used within ``fresh_ms``.  The caller counts what gave
-    no answer.
+    A pooled connection is reused if it was used within ``max_idle_ms``.  The caller counts
+    exchanges without an answer.
     """
-    said = server.announcement
-    connection = gateway.pool.take(server, now_ms(), fresh_ms)
+    announcement = server.announcement
+    connection = gateway.pool.take(server, now_ms(), max_idle_ms)
     sent_at = now_ms()
     try:
         with trio.move_on_after(seconds):
             if connection is None:
-                connection = await connect(said.host, said.port, gateway.settings.host, now_ms())
+                connection = await connect(
+                    announcement.host, announcement.port, gateway.settings.host, now_ms()
+                )
             await connection.send_request(head, body)
             answer = await connection.read_head()
             hear_answer(gateway, "", server, gateway.wire.decode_answer(answer), sent_at)
--- a/siskinspoke/gateway/onward.py
+++ b/siskinspoke/gateway/onward.py
@@ -1,9 +1,10 @@
-"""The next step of a request whose server is silent or gone, taken before that one is given up.
+"""Failover of a request whose server is silent or gone, planned before the attempt is abandoned.
 
-Silence proves nothing: an engine that reads a long prompt writes nothing to its streams meanwhile,
-and one that waits for another engine stands still for over a second.  So an attempt is given up
-for its silence only if the request can go on elsewhere, and many that wait for one server do not
-all leave it for the one place or the one repeat that is left.
+Silence proves nothing: an engine emits no tokens to its streams while it prefills a long prompt,
+and an engine that waits for another one is silent for over a second.  So a silent attempt is
+abandoned only if the request can continue elsewhere.  The place and the retry are taken when the
+failover is planned, so that many requests waiting for one server do not all leave it for the last
+free slot or the last retry.
 """
 
 from collections.abc import Callable
@@ -14,134 +15,139 @@
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.left_out import LeftOut
 from siskinspoke.coordination.standing import Trouble
-from siskinspoke.gateway.attempts import SLOW, STARTED_AGAIN
+from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, RESTARTED
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.placing import Placed
+from siskinspoke.gateway.placing import Assignment
 from siskinspoke.gateway.upstream import Broke, NotRun
 
-# Sendings that reached a server, and tries that reached none.  The latter cost some milliseconds
-# each where a server is gone, and after a loss of many they are what finds those that are left.
-MOST_TRIES = 6
-MOST_UNREACHED = 24
-# An attempt that has found no next step asks no sooner again than after this time: whoever looks at
-# a failure domain that is cut off asks all attempts there, some ten times a second.  Milliseconds.
-LEAST_PAUSE_MS = 150.0
-# A step is used within a tick, unless a slow caller holds its stream up just then; a server that
-# leaves must get nothing new after some seconds.  Milliseconds.
-STALE_MS = 300.0
-
-
-class NoMore(Enum):
+# Attempts that reached a server, and attempts that reached none.  The latter cost some milliseconds
+# each where a server is gone, and after the loss of many servers they are what finds those that are
+# left.
+MAX_DELIVERED_ATTEMPTS = 6
+MAX_UNDELIVERED_ATTEMPTS = 24
+# Least time between two checks of an attempt that could not fail over: probing a failure domain
+# that is partitioned asks all attempts there some ten times a second.  Milliseconds.
+MIN_RECHECK_MS = 150.0
+# Age at which a planned attempt is discarded.  It is used within a tick, unless a slow client
+# blocks its stream just then; a server that is leaving must get nothing new after some seconds.
+# Milliseconds.
+PLAN_MAX_AGE_MS = 300.0
+
+
+class RetryObstacle(Enum):
     """Why no other server is tried."""
 
     ATTEMPTS = "attempts_used"
-    ONCE = "may_not_be_repeated"
+    NOT_RETRYABLE = "may_not_be_repeated"
     BUDGET = "budget_spent"
     PLACE = "no_place"
     TRIES = "tries_used"
     QUARANTINE = "servers_crash_under_it"
 
 
-class Step(NamedTuple):
-    """Where a stream goes, the number of its work in the books, and when that was decided."""
+class PlannedAttempt(NamedTuple):
+    """A stream's next assignment, its work number in the books, and when it was planned."""
 
-    placed: Placed
+    assignment: Assignment
     work: int | None
-    at: float
+    planned_at: float
 
     def is_stale(self, now: float) -> bool:
-        """Tell whether the place was taken too long ago: its server may be drained by now."""
-        return now - self.at > STALE_MS
+        """Tell whether the plan is too old: its server may be drained by now."""
+        return now - self.planned_at > PLAN_MAX_AGE_MS
 
 
 @dataclass
-class Progress:
-    """What the attempts of one request have used up, and what is taken for the next one.
-
-    ``ran`` servers may have worked on it, ``arrivals`` sendings have reached one, ``unreached``
-    have not, and ``lost`` servers were found to be gone, or said nothing.  ``paid`` says that the
-    repeat of the next sending is taken from the budget, ``next`` where a stream then goes.
-    ``open`` attempts are under way: one of a stream, several of a plain call, of which ``refused``
-    were not run.
+class RetryState:
+    """What the attempts of one request have used up, and what is reserved for the next one.
+
+    ``runs`` counts the servers that may have run the request, ``delivered`` the attempts that
+    reached a server and ``undelivered`` those that did not.  ``lost_servers`` counts servers that
+    were gone or timed out.  ``retry_reserved`` tells that the next attempt's retry is taken from
+    the budget; ``planned`` is the next attempt of a stream.  ``open_attempts`` are in progress: one
+    of a stream, several of a plain call, of which ``refusals`` were not run.
     """
 
     left_out: LeftOut = field(default_factory=LeftOut)
-    ran: int = 0
-    arrivals: int = 0
-    unreached: int = 0
-    lost: int = 0
-    near_only: bool = False
-    open: int = 1
-    refused: int = 0
-    paid: bool = False
-    next: Step | None = None
-    # Whether the last sending was paid for with a repeat.
-    spent: bool = False
-
-    def has_tries(self, tried: int) -> bool:
-        """Tell whether so many tries, those that reached nobody among them, allow one more."""
-        return tried - self.unreached < MOST_TRIES and self.unreached < MOST_UNREACHED
-
-    def count(self, gateway: Gateway, server: ServerRecord, outcome: object) -> None:
-        """Count what became of a sending: any outcome but ``NotRun`` and ``Broke`` is an answer."""
+    runs: int = 0
+    delivered: int = 0
+    undelivered: int = 0
+    lost_servers: int = 0
+    local_only: bool = False
+    open_attempts: int = 1
+    refusals: int = 0
+    retry_reserved: bool = False
+    planned: PlannedAttempt | None = None
+    # Whether the last attempt used a retry of the budget.
+    retry_spent: bool = False
+
+    def has_attempts_left(self, tried: int) -> bool:
+        """Tell whether another attempt is allowed after ``tried``, undelivered ones included."""
+        return (
+            tried - self.undelivered < MAX_DELIVERED_ATTEMPTS
+            and self.undelivered < MAX_UNDELIVERED_ATTEMPTS
+        )
+
+    def count_outcome(self, gateway: Gateway, server: ServerRecord, outcome: object) -> None:
+        """Count an attempt's outcome: any but ``NotRun`` and ``OutcomeUnknown`` is an answer."""
         match outcome:
             case NotRun(trouble=Trouble.HELD):
-                self.hold_back()
+                self.keep_retry()
             case NotRun(arrived=arrived):
-                self.arrivals += arrived
+                self.delivered += arrived
             case Broke(gone=gone):
-                self.arrivals += 1
-                self.ran += not has_ended(gateway, server, outcome)
-                self.lost += gone or outcome.reason == SLOW
+                self.delivered += 1
+                self.runs += not has_stopped_work(gateway, server, outcome)
+                self.lost_servers += gone or outcome.reason == ANSWER_TIMED_OUT
             case _:
-                self.arrivals += 1
-                self.ran += 1
-
-    def pay(self, gateway: Gateway, request: Request) -> bool:
-        """Pay for the next sending with a repeat of the budget, unless it is the first, or paid."""
-        self.spent = self.paid
-        if not self.paid and self.arrivals:
-            self.spent = gateway.budget.take(request.service, now_ms())
-            return self.spent
-        self.paid = False
+                self.delivered += 1
+                self.runs += 1
+
+    def reserve_retry(self, gateway: Gateway, request: Request) -> bool:
+        """Take a retry from the budget, unless the attempt is the first or has one reserved."""
+        self.retry_spent = self.retry_reserved
+        if not self.retry_reserved and self.delivered:
+            self.retry_spent = gateway.budget.take(request.service, now_ms())
+            return self.retry_spent
+        self.retry_reserved = False
         return True
 
-    def hold_back(self) -> None:
-        """Take in that a sending was held back; what was paid for it pays for the next one."""
-        self.paid = self.paid or self.spent
-        self.spent = False
+    def keep_retry(self) -> None:
+        """Keep the retry of an attempt that its server's hold prevented, for the next attempt."""
+        self.retry_reserved = self.retry_reserved or self.retry_spent
+        self.retry_spent = False
 
-    def use_step(self, gateway: Gateway) -> Step | None:
-        """Return the step that was taken for the next attempt, if there is one and it is fresh.
+    def take_planned(self, gateway: Gateway) -> PlannedAttempt | None:
+        """Return the planned attempt, if there is one and it is not stale.
 
-        The repeat that is paid for it pays for any other place as well.
+        The retry reserved for it is valid for any other assignment as well.
         """
-        step = self.next
-        if step is None or step.is_stale(now_ms()):
-            self._give_back_place(gateway)
+        planned = self.planned
+        if planned is None or planned.is_stale(now_ms()):
+            self._release_place(gateway)
             return None
-        self.next = None
-        self.spent, self.paid = self.paid, False
-        return step
-
-    def _give_back_place(self, gateway: Gateway) -> None:
-        step, self.next = self.next, None
-        if step is not None and step.work is not None:
-            gateway.peers.ended(step.work)
-
-    def give_back(self, gateway: Gateway, request: Request) -> None:
-        """Give back what was taken for an attempt that is not needed."""
-        self._give_back_place(gateway)
-        if self.paid:
+        self.planned = None
+        self.retry_spent, self.retry_reserved = self.retry_reserved, False
+        return planned
+
+    def _release_place(self, gateway: Gateway) -> None:
+        planned, self.planned = self.planned, None
+        if planned is not None and planned.work is not None:
+            gateway.peers.ended(planned.work)
+
+    def release(self, gateway: Gateway, request: Request) -> None:
+        """Release what was reserved for an attempt that is not needed."""
+        self._release_place(gateway)
+        if self.retry_reserved:
             gateway.budget.give_back(request.service, now_ms())
-        self.paid = False
+        self.retry_reserved = False
 
 
-class Onward:
-    """Take the next step of a request for one attempt; say why there is none, once each.
+class Failover:
+    """Plan the next attempt of a request; log each reason why there is none, once.
 
-    ``take_place`` finds another server, takes a place there where places are kept in the books,
-    and tells whether it found one.
+    ``plan_next`` looks for another server, enters a stream's work into the books, and tells whether
+    it found one.
     """
 
     def __init__(
@@ -149,63 +155,63 @@
         gateway: Gateway,
         request: Request,
         server: str,
-        progress: Progress,
-        take_place: Callable[[], bool],
+        retry_state: RetryState,
+        plan_next: Callable[[], bool],
     ):
         self._gateway = gateway
         self._request = request
         self._server = server
-        self._progress = progress
-        self._take_place = take_place
-        self._said: set[NoMore] = set()
-        self._ask_at = 0.0
+        self._retry_state = retry_state
+        self._plan_next = plan_next
+        self._logged: set[RetryObstacle] = set()
+        self._next_check_at = 0.0
 
-    def move_on(self) -> bool:
-        """Take the next step and return True, or return False: the server is still waited for.
+    def fail_over(self) -> bool:
+        """Plan the next attempt and return True, or return False to keep waiting for the server.
 
-        Who is told True gives the server up at once, or gives the step back.
+        After True the caller abandons the server at once, or releases the plan.
         """
-        if self._progress.paid:
+        if self._retry_state.retry_reserved:
             return True
         now = now_ms()
-        if now < self._ask_at:
+        if now < self._next_check_at:
             return False
-        why = self.obstacle
-        if why is None and not self._take_place():
-            why = NoMore.PLACE
-        if why is not None:
-            self._ask_at = now + LEAST_PAUSE_MS
-            self._note(why)
+        obstacle = self.obstacle
+        if obstacle is None and not self._plan_next():
+            obstacle = RetryObstacle.PLACE
+        if obstacle is not None:
+            self._next_check_at = now + MIN_RECHECK_MS
+            self._log_obstacle(obstacle)
             return False
         self._gateway.budget.take(self._request.service, now)
-        self._progress.paid = True
+        self._retry_state.retry_reserved = True
         return True
 
     @property
-    def obstacle(self) -> NoMore | None:
+    def obstacle(self) -> RetryObstacle | None:
         """Return what forbids another attempt, whichever servers there are."""
-        gateway, request, progress = self._gateway, self._request, self._progress
+        gateway, request, retry_state = self._gateway, self._request, self._retry_state
         if not request.route.repeatable:
-            return NoMore.ONCE
-        if progress.ran + progress.open >= request.route.max_attempts:
-            return NoMore.ATTEMPTS
-        if not progress.has_tries(len(request.tried) + 1):
-            return NoMore.TRIES
+            return RetryObstacle.NOT_RETRYABLE
+        if retry_state.runs + retry_state.open_attempts >= request.route.max_attempts:
+            return RetryObstacle.ATTEMPTS
+        if not retry_state.has_attempts_left(len(request.tried) + 1):
+            return RetryObstacle.TRIES
         if not gateway.budget.has_left(request.service, now_ms()):
-            return NoMore.BUDGET
+            return RetryObstacle.BUDGET
         return None
 
-    def _note(self, why: NoMore) -> None:
-        if why in self._said:
+    def _log_obstacle(self, obstacle: RetryObstacle) -> None:
+        if obstacle in self._logged:
             return
-        self._said.add(why)
+        self._logged.add(obstacle)
         gateway, request, now = self._gateway, self._request, now_ms()
-        gateway.counters.count(f"attempt.waits.{why.value}")
+        gateway.counters.count(f"attempt.waits.{obstacle.value}")
         gateway.log.note(
             "attempt.waits",
             request=request.call.id,
             server=self._server,
-            why=why.value,
+            why=obstacle.value,
             events=request.events,
             left=round(request.left_ms(now)),
             leaving=gateway.directory.has_left(self._server),
@@ -213,17 +219,17 @@
         )
 
 
-def has_ended(gateway: Gateway, server: ServerRecord, broke: Broke) -> bool:
-    """Tell whether a server that broke off has surely ended its work on the request.
+def has_stopped_work(gateway: Gateway, server: ServerRecord, broke: Broke) -> bool:
+    """Tell whether a server that broke off has certainly stopped working on the request.
 
-    One that cannot be reached may work on.  One that has said that it leaves, and then closes the
-    connection, has ended: counted as an attempt, two that leave one after the other used up what
-    most routes allow, and the stream was cut though other engines were well.  The same holds for
-    the neighbours of a request that crashes one server after the other, and for whoever a cut has
-    parted from a whole failure domain: it resets both ends of their connections.
+    A server that cannot be reached may still be working.  One that announced that it is leaving and
+    then closed the connection has stopped: counted as runs, two such servers in a row used up the
+    attempts of most routes, and the stream was truncated although other engines were healthy.  The
+    same holds for a request whose servers are crashed in turn by another request, and for servers
+    behind a partition of a whole failure domain, which resets both ends of their connections.
     """
-    if broke.reason == STARTED_AGAIN or gateway.crashes.has_crashed(server.start):
+    if broke.reason == RESTARTED or gateway.crashes.has_crashed(server.start):
         return True
-    said = server.announcement
-    is_cut = gateway.domains.is_cut(said.failure_domain, now_ms())
-    return broke.closed and (is_cut or gateway.directory.has_left(said.server))
+    announcement = server.announcement
+    is_cut = gateway.domains.is_cut(announcement.failure_domain, now_ms())
+    return broke.closed and (is_cut or gateway.directory.has_left(announcement.server))
--- a/siskinspoke/gateway/plain.py
+++ b/siskinspoke/gateway/plain.py
@@ -1,4 +1,4 @@
-"""Serve a request whose answer is one piece: a plain service, or any failure of a stream."""
+"""Serve a request whose answer is not a stream: a plain service's, or a stream's failure."""
 
 import math
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.crashes import note_end, noted, quarantine_of
-from siskinspoke.gateway.onward import Onward, Progress
+from siskinspoke.gateway.onward import Failover, RetryState
 from siskinspoke.gateway.sending import opens_in_ms
 from siskinspoke.gateway.servers import (
     candidates,
@@ -27,36 +27,36 @@
     reachable_unlimited,
 )
 from siskinspoke.gateway.upstream import (
-    Begun,
+    AnswerStarted,
+    AttemptAbandonedError,
     Broke,
-    GivenUpError,
     NotRun,
-    broken,
-    keep_or_cut,
-    read_on,
+    connection_failure,
+    read_body_part,
+    release_connection,
     send,
 )
 from siskinspoke.gateway.wire import Answer, Dispatch
 from siskinspoke.transport.http1 import PeerError
 
-# A kept connection may have been idle this long for a request that may be repeated.  One that may
-# not gets a connection of its own: servers drop idle ones without notice, and whether a request
-# that met such a drop has run, nobody can tell.
-FRESH_MS = 60_000.0
-FRESH_ONCE_MS = 0.0
-# An attempt is given up after this share of the time left, if another server may be tried then.
-FIRST_SHARE = 0.45
-# A body that is on its way is not given up between two of its parts.
-LEAST_PATIENCE_MS = 100.0
-GIVEN_UP = "the answer did not end in time"
-# Servers tried that could not be reached, so that nothing was sent to them.
-MOST_UNREACHABLE = 4
-# When to come back after a refusal because all servers are busy or gone.  Milliseconds.
+# Longest idle time of a pooled connection that is reused for a retryable request.  Other requests
+# get a new connection: servers drop idle ones without notice, and then it is unknown whether the
+# request has run.  Milliseconds.
+MAX_IDLE_MS = 60_000.0
+NON_RETRYABLE_MAX_IDLE_MS = 0.0
+# An attempt times out after this share of the remaining time, if another server can be tried.
+ATTEMPT_TIMEOUT_SHARE = 0.45
+# Least read timeout of a body, so that an attempt is not abandoned between two parts of it.
+MIN_READ_TIMEOUT_MS = 100.0
+TIMED_OUT = "the answer did not end in time"
+# After so many attempts, at least one of which was not run, no further server is tried.
+MAX_ATTEMPTS_IF_REFUSED = 4
+# Retry-After of refusals because all servers are busy or gone.  Milliseconds.
 RETRY_AFTER_MS = 400
-RETRY_SPREAD = 0.5
+RETRY_AFTER_JITTER = 0.5
 
 
-class Whole(NamedTuple):
+class WholeAnswer(NamedTuple):
     """A server's complete answer."""
 
     answer: Answer
@@ -64,9 +64,9 @@
 
 
 def run_end(outcome: object) -> RunEnd:
-    """Return what the outcome of an attempt proves; any but these is an end that proves nothing."""
+    """Return what the outcome of an attempt proves about the run; other outcomes prove nothing."""
     match outcome:
-        case Whole():
+        case WholeAnswer():
             return RunEnd.WHOLE
         case NotRun():
             return RunEnd.NOT_RUN
@@ -74,12 +74,12 @@
 
 
 def retry_after(gateway: Gateway, least_ms: float = RETRY_AFTER_MS) -> int:
-    """Return when to come back, spread so that refused callers do not come back together."""
-    return int(least_ms * (1 + RETRY_SPREAD * gateway.rng.random()))
+    """Return a Retry-After with jitter, so that refused callers do not return at the same time."""
+    return int(least_ms * (1 + RETRY_AFTER_JITTER * gateway.rng.random()))
 
 
-async def serve_plain(gateway: Gateway, request: Request) -> Whole | Failure:
-    """Return a server's whole answer, or the failure that the caller gets instead."""
+async def serve_plain(gateway: Gateway, request: Request) -> WholeAnswer | Failure:
+    """Return a server's complete answer, or the failure that the caller gets instead."""
     request.service = choose_service(gateway, request)
     quarantine = await quarantine_of(gateway, request)
     if quarantine is not None:
@@ -90,125 +90,132 @@
         try:
             return await call.run()
         finally:
-            call.give_back()
-            # An attempt that is still open has lost against another one.
+            call.release_retry()
+            # A concurrent attempt that is still open has lost the race.
             nursery.cancel_scope.cancel()
 
 
 @dataclass(frozen=True)
-class _Late:
-    """An attempt has not ended in good time, and a repeat is paid for another one beside it."""
+class _AttemptLate:
+    """An attempt is late, and a retry is reserved for a concurrent attempt."""
 
 
 @dataclass(frozen=True)
-class _Ended:
-    """What became of an attempt."""
+class _AttemptEnded:
+    """The outcome of an attempt."""
 
     server: ServerRecord
-    outcome: Whole | NotRun | Broke
+    outcome: WholeAnswer | NotRun | Broke
 
 
 class _PlainCall:
-    """The attempts of one call; one that is late stays open beside the next.
+    """The attempts of one call; a late attempt stays open while the next one runs.
 
-    Whoever seems to have room may refuse, and then the first is the only one who answers.
+    The next server may refuse although it seemed to have capacity; then the late one is the only
+    one that answers.
     """
 
     def __init__(self, gateway: Gateway, request: Request, nursery: trio.Nursery):
         self._gateway = gateway
         self._request = request
         self._nursery = nursery
-        self._progress = Progress(open=0)
-        self._last: Whole | Failure | None = None
-        self._tell, self._events = trio.open_memory_channel[_Late | _Ended](math.inf)
-
-    async def run(self) -> Whole | Failure:
-        """Begin attempts until one brings an answer, or none is open and none may begin."""
-        self._begin()
-        while self._progress.open:
+        self._retry_state = RetryState(open_attempts=0)
+        self._last_result: WholeAnswer | Failure | None = None
+        self._send_event, self._events = trio.open_memory_channel[_AttemptLate | _AttemptEnded](
+            math.inf
+        )
+
+    async def run(self) -> WholeAnswer | Failure:
+        """Run attempts until one has an answer, or none is open and none may be started."""
+        self._start_attempt()
+        while self._retry_state.open_attempts:
             match await self._events.receive():
-                case _Late():
-                    self._begin()
-                case _Ended(server=server, outcome=outcome):
-                    self._progress.open -= 1
-                    result = await self._take_in(server, outcome)
+                case _AttemptLate():
+                    self._start_attempt()
+                case _AttemptEnded(server=server, outcome=outcome):
+                    self._retry_state.open_attempts -= 1
+                    result = await self._handle_outcome(server, outcome)
                     if result is not None:
                         return result
-                    if await self._may_go_on():
-                        self._begin()
+                    if await self._may_retry():
+                        self._start_attempt()
         message = "no backend server can take the request now"
-        return self._last or nobody(self._gateway, self._request, message)
+        return self._last_result or no_server_failure(self._gateway, self._request, message)
 
-    def give_back(self) -> None:
-        """Give back what was paid for an attempt that nobody could take."""
-        self._progress.give_back(self._gateway, self._request)
+    def release_retry(self) -> None:
+        """Return a retry to the budget that was reserved for an attempt which never started."""
+        self._retry_state.release(self._gateway, self._request)
 
-    async def _may_go_on(self) -> bool:
-        progress, request = self._progress, self._request
-        if progress.ran + progress.open >= request.route.max_attempts:
+    async def _may_retry(self) -> bool:
+        retry_state, request = self._retry_state, self._request
+        if retry_state.runs + retry_state.open_attempts >= request.route.max_attempts:
             return False
-        if not progress.has_tries(len(request.tried)) or self._has_found_nobody():
+        if not retry_state.has_attempts_left(len(request.tried)) or self._has_run_out_of_servers():
             return False
-        return self._last is None or await quarantine_of(self._gateway, request) is None
+        return self._last_result is None or await quarantine_of(self._gateway, request) is None
 
-    def _has_found_nobody(self) -> bool:
-        """Tell whether so many servers could not take the call that the next will hardly do."""
+    def _has_run_out_of_servers(self) -> bool:
+        """Tell whether so many servers could not take the call that the next is unlikely to."""
         tried = self._request.tried
-        return len(tried) >= MOST_UNREACHABLE and self._progress.refused > 0
+        return len(tried) >= MAX_ATTEMPTS_IF_REFUSED and self._retry_state.refusals > 0
 
-    def _begin(self) -> None:
-        """Begin an attempt at another server, if there is one and a repeat is left."""
-        gateway, request, progress = self._gateway, self._request, self._progress
-        records = _others(gateway, request, progress)
+    def _start_attempt(self) -> None:
+        """Start an attempt at another server, if there is one and the retry budget allows it."""
+        gateway, request, retry_state = self._gateway, self._request, self._retry_state
+        records = _remaining_servers(gateway, request, retry_state)
         if not records:
             return
-        if not progress.pay(gateway, request):
+        if not retry_state.reserve_retry(gateway, request):
             gateway.counters.count("retry.budget_spent")
             return
         server = least_loaded(gateway, reachable(gateway, records) or records)
-        progress.left_out.fail(server.start)
-        progress.open += 1
+        retry_state.left_out.fail(server.start)
+        retry_state.open_attempts += 1
         self._nursery.start_soon(self._attempt, server)
 
     async def _attempt(self, server: ServerRecord) -> None:
-        outcome = await _attempt(self._gateway, self._request, server, self._progress, self._late)
-        self._tell.send_nowait(_Ended(server, outcome))
-
-    def _late(self, server: ServerRecord) -> None:
-        """Take in that another attempt is paid for, since this one's server is late."""
-        learn(self._gateway, self._request, server, Broke(Trouble.SILENT, GIVEN_UP))
-        self._tell.send_nowait(_Late())
-
-    async def _take_in(
-        self, server: ServerRecord, outcome: Whole | NotRun | Broke
-    ) -> Whole | Failure | None:
-        """Take in how an attempt ended; return what the caller gets, None if that is open."""
+        outcome = await _attempt(
+            self._gateway, self._request, server, self._retry_state, self._on_late
+        )
+        self._send_event.send_nowait(_AttemptEnded(server, outcome))
+
+    def _on_late(self, server: ServerRecord) -> None:
+        """Handle a late server, for which a concurrent attempt's retry is reserved."""
+        learn(self._gateway, self._request, server, Broke(Trouble.SILENT, TIMED_OUT))
+        self._send_event.send_nowait(_AttemptLate())
+
+    async def _handle_outcome(
+        self, server: ServerRecord, outcome: WholeAnswer | NotRun | Broke
+    ) -> WholeAnswer | Failure | None:
+        """Record how an attempt ended; return the caller's result, or None if it is still open."""
         repeatable = self._request.route.repeatable
         if isinstance(outcome, Broke):
             await note_end(self._gateway, server, outcome)
-        self._progress.count(self._gateway, server, outcome)
+        self._retry_state.count_outcome(self._gateway, server, outcome)
         match outcome:
-            case Whole(answer=answer):
+            case WholeAnswer(answer=answer):
                 if answer.status < 500 or not repeatable:
                     return outcome
-                self._last = outcome
+                self._last_result = outcome
             case NotRun(trouble=trouble):
-                self._progress.refused += trouble is not Trouble.HELD
+                self._retry_state.refusals += trouble is not Trouble.HELD
             case Broke(reason=reason):
-                self._last = self._last or Failure(ResultCode.FATE_UNKNOWN, reason)
+                self._last_result = self._last_result or Failure(ResultCode.FATE_UNKNOWN, reason)
                 if not repeatable:
-                    return self._last
+                    return self._last_result
         return None
 
 
-def _others(gateway: Gateway, request: Request, progress: Progress) -> list[ServerRecord]:
-    """Return the servers that the request may still go to."""
-    left_out = progress.left_out.names(gateway.directory, now_ms())
+def _remaining_servers(
+    gateway: Gateway, request: Request, retry_state: RetryState
+) -> list[ServerRecord]:
+    """Return the servers that the request may still be sent to."""
+    left_out = retry_state.left_out.names(gateway.directory, now_ms())
     return candidates(gateway, request.service, left_out)
 
 
-def nobody(gateway: Gateway, request: Request, message: str) -> Failure:
-    """Return the refusal of a request that no server can take; it says when one will."""
+def no_server_failure(gateway: Gateway, request: Request, message: str) -> Failure:
+    """Return the refusal of a request that no server can take, with the time of a retry."""
     wait_ms = opens_in_ms(gateway, request.service)
     if wait_ms is None:
         return Failure(ResultCode.NO_SERVER, message, retry_after(gateway))
@@ -220,33 +227,33 @@
     gateway: Gateway,
     request: Request,
     server: ServerRecord,
-    progress: Progress,
-    late: Callable[[ServerRecord], None],
-) -> Whole | NotRun | Broke:
-    """Send the request to one server and read its whole answer.
+    retry_state: RetryState,
+    on_late: Callable[[ServerRecord], None],
+) -> WholeAnswer | NotRun | Broke:
+    """Send the request to one server and read its complete answer.
 
-    ``late`` is called once the answer is late and a repeat is paid; this attempt goes on.
+    ``on_late`` is called when the answer is late and a retry is reserved; this attempt continues.
     """
     name = server.announcement.server
-    began = now_ms()
-    left = request.left_ms(began)
+    began_at = now_ms()
+    left = request.left_ms(began_at)
 
     def has_other() -> bool:
-        return bool(reachable_unlimited(gateway, _others(gateway, request, progress)))
+        return bool(reachable_unlimited(gateway, _remaining_servers(gateway, request, retry_state)))
 
-    onward = Onward(gateway, request, name, progress, has_other)
-    told = False
+    failover = Failover(gateway, request, name, retry_state, has_other)
+    reported = False
 
-    def move_on() -> bool:
-        nonlocal told
-        if not told and onward.move_on():
-            told = True
-            late(server)
+    def fail_over() -> bool:
+        nonlocal reported
+        if not reported and failover.fail_over():
+            reported = True
+            on_late(server)
         return False
 
-    fresh = request.route.repeatable and not progress.lost
-    fresh_ms = FRESH_MS if fresh else FRESH_ONCE_MS
-    patience_ms = FIRST_SHARE * left
+    may_reuse = request.route.repeatable and not retry_state.lost_servers
+    max_idle_ms = MAX_IDLE_MS if may_reuse else NON_RETRYABLE_MAX_IDLE_MS
+    timeout_ms = ATTEMPT_TIMEOUT_SHARE * left
     dispatch = Dispatch(
         call=request.call,
         server=name,
@@ -256,61 +263,65 @@
         resume_after=request.call.resume_after,
     )
     gateway.standing.began(name)
-    outcome: Whole | NotRun | Broke | Begun = Broke(Trouble.SILENT, GIVEN_UP)
+    outcome: WholeAnswer | NotRun | Broke | AnswerStarted = Broke(Trouble.SILENT, TIMED_OUT)
     try:
         with (
             noted(gateway, request, server) as run,
-            gateway.attempts.attempt(server, move_on=move_on) as attempt,
+            gateway.attempts.attempt(server, fail_over=fail_over) as attempt,
         ):
-            attempt.patience_ms = permit_patience_ms(gateway, request, server)
-            usual_ms = gateway.standing.usual_ms([name], began)
-            attempt.expect_within(whole_due_ms(usual_ms), began)
-            with attempt.within(left / 1000):
+            attempt.permit_wait_ms = permit_patience_ms(gateway, request, server)
+            usual_ms = gateway.standing.usual_ms([name], began_at)
+            attempt.expect_answer_within(whole_due_ms(usual_ms), began_at)
+            with attempt.wait_scope(left / 1000):
                 outcome = await send(
-                    gateway, dispatch, server, attempt, patience_ms / 1000, fresh_ms
+                    gateway, dispatch, server, attempt, timeout_ms / 1000, max_idle_ms
                 )
-            if isinstance(outcome, Begun):
-                give_up_at = began + patience_ms
+            if isinstance(outcome, AnswerStarted):
+                give_up_at = began_at + timeout_ms
                 outcome = await _read_whole(gateway, server, outcome, attempt, give_up_at)
             run.end = run_end(outcome)
-        if attempt.lost and isinstance(outcome, Broke):
-            outcome = Broke(Trouble.BROKEN, attempt.lost, gone=True)
+        if attempt.end_reason and isinstance(outcome, Broke):
+            outcome = Broke(Trouble.BROKEN, attempt.end_reason, gone=True)
     finally:
         gateway.standing.ended(name)
     now = now_ms()
     match outcome:
-        case Whole(answer=answer):
+        case WholeAnswer(answer=answer):
             request.note(name, str(answer.status), now)
             gateway.directory.prove(*server.start, now)
-            gateway.crashes.answered(server.start, began, now)
+            gateway.crashes.answered(server.start, began_at, now)
             if answer.status >= 500:
                 gateway.standing.failed(name, Trouble.ERROR, now)
             else:
-                gateway.standing.succeeded(name, now - began, now)
+                gateway.standing.succeeded(name, now - began_at, now)
         case _:
             learn(gateway, request, server, outcome)
     return outcome
 
 
 async def _read_whole(
-    gateway: Gateway, server: ServerRecord, begun: Begun, attempt: Attempt, give_up_at: float
-) -> Whole | Broke:
+    gateway: Gateway,
+    server: ServerRecord,
+    started: AnswerStarted,
+    attempt: Attempt,
+    give_up_at: float,
+) -> WholeAnswer | Broke:
     parts = []
     complete = False
     try:
         while True:
-            seconds = max(LEAST_PATIENCE_MS, give_up_at - now_ms()) / 1000
-            data = await read_on(begun.connection, attempt, seconds)
+            seconds = max(MIN_READ_TIMEOUT_MS, give_up_at - now_ms()) / 1000
+            data = await read_body_part(started.connection, attempt, seconds)
             if data is None:
                 break
             parts.append(data)
         complete = True
     except PeerError as error:
-        return broken(error)
-    except GivenUpError:
-        return Broke(Trouble.SILENT, GIVEN_UP)
+        return connection_failure(error)
+    except AttemptAbandonedError:
+        return Broke(Trouble.SILENT, TIMED_OUT)
     finally:
         if not complete:
-            begun.connection.cut()
-    keep_or_cut(gateway, server, begun)
-    return Whole(begun.answer, b"".join(parts))
+            started.connection.cut()
+    release_connection(gateway, server, started)
+    return WholeAnswer(started.answer, b"".join(parts))
--- a/siskinspoke/gateway/reaching.py
+++ b/siskinspoke/gateway/reaching.py
@@ -1,4 +1,4 @@
-"""Connect to backend servers, and find out which of them cannot be reached."""
+"""Connect to backend servers, and detect which of them cannot be reached."""
 
 from enum import Enum
 
@@ -9,38 +9,41 @@
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.transport.http1 import ServerConnection, connect
 
-# A lost opening packet is sent again after a second, so another connection is opened beside the
-# first after this part of the time: 3 packets in 100 are lost on a bad link, and one connection
-# alone would take as many sound servers for lost.
-SECOND_TRY_SHARE = 0.4
-# A VM may stand still for a tenth of a second when its processor's quota is used up.  What it has
-# not heard in that time proves nothing, so it tries once more.
-STOOD_STILL_SECONDS = 0.03
-TICK_SECONDS = 0.02
-# What begins while nobody thinks of the open attempts is overdue no sooner than after this time.
-# To think every tick would be much of all that an idle VM wakes for.
-MOST_QUIET_SECONDS = 0.06
-AGAIN_SECONDS = 0.25
+# Share of the timeout after which a second connection is opened beside the first.  A lost SYN is
+# retransmitted only after a second, and on a bad link 3 packets in 100 are lost: with a single
+# connection, as many healthy servers would be taken for lost.
+SECOND_CONNECT_SHARE = 0.4
+# A VM may stall for 0.1 s when its CPU quota is used up.  A connection timeout that ends this much
+# too late is not evidence of a lost server, so the connection is tried once more.
+STALL_SECONDS = 0.03
+MIN_CHECK_SECONDS = 0.02
+# Longest interval between two checks of the open attempts.  Attempts that begin in between are
+# overdue no sooner than that; checks at the shortest interval would be most of the wake-ups of an
+# idle VM.
+MAX_CHECK_SECONDS = 0.06
+PROBE_AGAIN_SECONDS = 0.25
 
 
 class NoConnection(Enum):
     """Why there is no connection to a server.
 
-    A machine that refuses one is there: its process does not listen, and then its open connections
-    are reset, or it has as many connections as it takes, and works on at what it has.
+    A refusal shows that the machine is up: either its process does not listen, and its open
+    connections are reset, or it has reached its connection limit and still works on its requests.
     """
 
     REFUSED = "refused"
     SILENT = "silent"
 
 
-async def reach(gateway: Gateway, server: ServerRecord) -> ServerConnection | NoConnection:
+async def open_connection(
+    gateway: Gateway, server: ServerRecord
+) -> ServerConnection | NoConnection:
     """Connect to a server, or return why there is no connection."""
     began = trio.current_time()
     seconds = gateway.connects.give_up_ms / 1000
     connection = await _race(gateway, server, seconds)
     took = trio.current_time() - began
-    if connection is NoConnection.SILENT and took > seconds + STOOD_STILL_SECONDS:
+    if connection is NoConnection.SILENT and took > seconds + STALL_SECONDS:
         connection = await _race(gateway, server, seconds)
     return connection
 
@@ -48,8 +51,8 @@
 async def _race(
     gateway: Gateway, server: ServerRecord, seconds: float
 ) -> ServerConnection | NoConnection:
-    """Return the first of two connections, the second of them opened a little later."""
-    said = server.announcement
+    """Return the first of two connections, the second of which is opened a little later."""
+    announcement = server.announcement
     opened: list[ServerConnection] = []
     refused = False
 
@@ -59,10 +62,12 @@
         gateway.counters.count("server.connects")
         began = now_ms()
         try:
-            opened.append(await connect(said.host, said.port, gateway.settings.host, began))
+            opened.append(
+                await connect(announcement.host, announcement.port, gateway.settings.host, began)
+            )
             gateway.connects.took(now_ms() - began)
         except OSError:
-            # The other try would learn the same.
+            # The other connection would be refused as well.
             refused = True
             gateway.counters.count("server.refused_connection")
         nursery.cancel_scope.cancel()
@@ -70,7 +75,7 @@
     with trio.move_on_after(seconds):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(open_one, 0.0)
-            nursery.start_soon(open_one, seconds * SECOND_TRY_SHARE)
+            nursery.start_soon(open_one, seconds * SECOND_CONNECT_SHARE)
     for spare in opened[1:]:
         spare.cut()
     if opened:
@@ -79,137 +84,148 @@
 
 
 async def connect_to(
-    gateway: Gateway, server: ServerRecord, told: bool = False
+    gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False
 ) -> ServerConnection | None:
-    """Connect to a server and take in what that shows of it and of its failure domain.
+    """Connect to a server, and update the state of the server and its failure domain.
 
-    ``told`` means that another VM has said that the server is lost.
+    ``reported_by_peer`` tells that another VM has reported the server as lost.
     """
-    found = await _connect(gateway, server, told)
+    found = await _connect(gateway, server, reported_by_peer)
     return found if isinstance(found, ServerConnection) else None
 
 
 async def _connect(
-    gateway: Gateway, server: ServerRecord, told: bool
+    gateway: Gateway, server: ServerRecord, reported_by_peer: bool
 ) -> ServerConnection | NoConnection:
     gateway.looks.began(server.start, now_ms())
     finished = False
     try:
-        found = await reach(gateway, server)
+        found = await open_connection(gateway, server)
         finished = True
     finally:
         if not finished:
-            # Whoever asked has gone.  A look that nobody ends would be under way forever, and the
-            # server passed over for good.
+            # The caller was cancelled.  A probe that is never ended would count as in progress
+            # forever, and the server would never be used again.
             gateway.looks.drop(server.start)
     gateway.looks.ended(server.start, found is not NoConnection.SILENT, now_ms())
     match found:
         case NoConnection.SILENT:
-            lost(gateway, server, told)
+            mark_unreachable(gateway, server, reported_by_peer)
         case NoConnection.REFUSED:
-            # What is open there may well be worked on, so nothing ends.
-            said = server.announcement
-            gateway.log.note("server.refuses", server=said.server, start=said.incarnation)
+            # Open requests at the server may still be running, so none is ended.
+            announcement = server.announcement
+            gateway.log.note(
+                "server.refuses", server=announcement.server, start=announcement.incarnation
+            )
         case ServerConnection():
-            _reached(gateway, server)
+            _mark_reachable(gateway, server)
     return found
 
 
-def _reached(gateway: Gateway, server: ServerRecord) -> None:
-    said = server.announcement
-    if gateway.domains.reached(said.failure_domain):
-        gateway.log.note("domain.back", domain=said.failure_domain, server=said.server)
-    if gateway.standing.reached(said.server):
-        gateway.log.note("server.reached", server=said.server, start=said.incarnation)
+def _mark_reachable(gateway: Gateway, server: ServerRecord) -> None:
+    announcement = server.announcement
+    if gateway.domains.reached(announcement.failure_domain):
+        gateway.log.note(
+            "domain.back", domain=announcement.failure_domain, server=announcement.server
+        )
+    if gateway.standing.reached(announcement.server):
+        gateway.log.note(
+            "server.reached", server=announcement.server, start=announcement.incarnation
+        )
 
 
-def lost(gateway: Gateway, server: ServerRecord, told: bool = False) -> None:
-    """Take in that a server cannot be reached: end what waits for it, and tell the other VMs.
+def mark_unreachable(
+    gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False
+) -> None:
+    """Mark a server as unreachable: end the attempts at it, and tell the other VMs.
 
-    Each VM looks for itself before it believes another, so the word of a VM that is itself cut
-    off costs the others one connection.  Whoever was told tells nobody, or each VM of a large
-    fleet would tell all others.
+    Each VM probes the server itself before it acts on a report, so the report of a VM that is
+    itself partitioned costs the others one connection.  A VM that was told of the loss tells no
+    other; otherwise each VM of a large fleet would tell all others.
     """
-    said, now = server.announcement, now_ms()
+    announcement, now = server.announcement, now_ms()
     if gateway.directory.superseded(*server.start):
         return
     gateway.looks.alarm(now)
-    news = not gateway.standing.is_unreachable(said.server)
-    gateway.standing.failed(said.server, Trouble.UNREACHABLE, now)
-    ended = gateway.attempts.lost(*server.start)
-    if gateway.domains.unreached(said.failure_domain, said.server, now):
-        gateway.log.note("domain.cut", domain=said.failure_domain, server=said.server)
-        gateway.peers.cut(said.failure_domain)
-    if not news:
+    is_news = not gateway.standing.is_unreachable(announcement.server)
+    gateway.standing.failed(announcement.server, Trouble.UNREACHABLE, now)
+    ended = gateway.attempts.end_lost(*server.start)
+    if gateway.domains.unreached(announcement.failure_domain, announcement.server, now):
+        gateway.log.note(
+            "domain.cut", domain=announcement.failure_domain, server=announcement.server
+        )
+        gateway.peers.cut(announcement.failure_domain)
+    if not is_news:
         return
     gateway.counters.count("server.unreachable")
     gateway.log.note(
         "server.unreachable",
-        server=said.server,
-        start=said.incarnation,
-        domain=said.failure_domain,
+        server=announcement.server,
+        start=announcement.incarnation,
+        domain=announcement.failure_domain,
         attempts_ended=ended,
-        told=told,
+        told=reported_by_peer,
     )
-    if not told:
-        gateway.peers.lost(said.server)
+    if not reported_by_peer:
+        gateway.peers.lost(announcement.server)
 
 
-async def look(gateway: Gateway, server: ServerRecord, told: bool = False) -> None:
-    """See whether a server can be reached, and keep the connection if it can."""
-    found = await _connect(gateway, server, told)
+async def look(gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False) -> None:
+    """Probe whether a server can be reached, and pool the connection if it can."""
+    found = await _connect(gateway, server, reported_by_peer)
     if isinstance(found, ServerConnection):
         gateway.pool.put(server, found)
 
 
 async def look_at(gateway: Gateway, server: ServerRecord) -> NoConnection | None:
-    """Look at a server now, and return why it cannot be reached, or None where it can."""
-    found = await _connect(gateway, server, told=False)
+    """Probe a server now, and return why it cannot be reached, or None where it can."""
+    found = await _connect(gateway, server, reported_by_peer=False)
     if isinstance(found, ServerConnection):
         gateway.pool.put(server, found)
         return None
     return found
 
 
-def look_soon(gateway: Gateway, server: ServerRecord, told: bool = False) -> None:
-    """Start a look at a server where one would teach anything."""
-    said, now = server.announcement, now_ms()
-    if gateway.domains.is_cut(said.failure_domain, now):
-        # Servers of a domain that is cut off are tried one at a time, to see when it is back.
-        gateway.attempts.lost(*server.start)
+def look_soon(gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False) -> None:
+    """Start a probe of a server where its result would be of use."""
+    announcement, now = server.announcement, now_ms()
+    if gateway.domains.is_cut(announcement.failure_domain, now):
+        # Servers of a partitioned failure domain are probed one at a time, to detect when it is
+        # back.
+        gateway.attempts.end_lost(*server.start)
     elif gateway.looks.wanted(server.start, now):
         gateway.looks.began(server.start, now)
-        gateway.chores.start_soon(look, gateway, server, told)
+        gateway.chores.start_soon(look, gateway, server, reported_by_peer)
 
 
 def hear_lost(gateway: Gateway, name: str) -> None:
-    """Take in that another VM could not reach a server."""
+    """Handle the report of another VM that a server is unreachable."""
     gateway.looks.alarm(now_ms())
     server = gateway.directory.latest(name)
     if server is not None and not gateway.standing.is_unreachable(name):
-        look_soon(gateway, server, told=True)
+        look_soon(gateway, server, reported_by_peer=True)
 
 
 async def look_forever(gateway: Gateway) -> None:
-    """Look at the servers whose answers are overdue, and doubt what is late, forever."""
+    """Probe the servers whose answers are overdue, and recheck late attempts, forever."""
     while True:
-        await gateway.attempts.some_open()
+        await gateway.attempts.wait_until_open()
         patience = gateway.looks.patience(now_ms())
-        quiet = gateway.attempts.next_thought_ms(now_ms(), patience) / 1000
-        await trio.sleep(min(MOST_QUIET_SECONDS, max(TICK_SECONDS, quiet)))
-        gateway.attempts.doubt(now_ms())
+        quiet = gateway.attempts.next_check_ms(now_ms(), patience) / 1000
+        await trio.sleep(min(MAX_CHECK_SECONDS, max(MIN_CHECK_SECONDS, quiet)))
+        gateway.attempts.recheck(now_ms())
         patience = gateway.looks.patience(now_ms())
         for server in gateway.attempts.overdue(now_ms(), patience):
             look_soon(gateway, server)
 
 
 async def look_again_forever(gateway: Gateway) -> None:
-    """Look again at the servers that could not be reached, until they can be or are gone.
+    """Probe unreachable servers again until they can be reached or are gone.
 
-    Otherwise a request would have to find out that a server is back, or is still lost.
+    Otherwise a client's request would be the first to find that a server is back or still lost.
     """
     while True:
-        await trio.sleep(AGAIN_SECONDS)
+        await trio.sleep(PROBE_AGAIN_SECONDS)
         gateway.looks.forget(now_ms())
         for name in gateway.standing.unreachable():
             server = gateway.directory.latest(name)
--- a/siskinspoke/gateway/relaying.py
+++ b/siskinspoke/gateway/relaying.py
@@ -1,4 +1,4 @@
-"""Pass a stream's events on to the client as they come, whole and each of them once."""
+"""Relay a stream's events to the client as they arrive, unsplit and each of them once."""
 
 import math
 from collections.abc import Callable
@@ -7,20 +7,28 @@
 from siskinspoke.coordination.standing import Trouble
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.placing import Placed
-from siskinspoke.gateway.plain import Whole
-from siskinspoke.gateway.upstream import Begun, Broke, GivenUpError, broken, keep_or_cut, read_on
+from siskinspoke.gateway.placing import Assignment
+from siskinspoke.gateway.plain import WholeAnswer
+from siskinspoke.gateway.upstream import (
+    AnswerStarted,
+    AttemptAbandonedError,
+    Broke,
+    connection_failure,
+    read_body_part,
+    release_connection,
+)
 from siskinspoke.protocol.events import EventSplitter, id_of
 from siskinspoke.transport.http1 import ClientConnection, PeerError
 
-# After a pause this many times the longest one that is of use, and at least this long, a stream
-# goes on at another engine if one can take it: a long prompt that is read beside it may stop it for
-# a second, and callers leave after eight times, or two seconds, so the other one has 0.6 s to read.
-PAUSES = 4.0
-SILENT_MS = 1_400.0
-# A head that has just come is followed by its first event.
-LEAST_PATIENCE_MS = 50.0
-# Chunked framing of the bytes that go to the client.
+# Silence after which a stream continues on another engine, if one can take it: a multiple of the
+# longest useful pause, and a minimum.  A long prompt that is prefilled on the same engine may stop
+# the stream for a second; clients leave after eight times the pause, or after two seconds, which
+# leaves the other engine 0.6 s for its prefill.
+MAX_PAUSE_FACTOR = 4.0
+MIN_SILENCE_MS = 1_400.0
+# Least timeout of the first event, which follows an answer's head.  Milliseconds.
+MIN_READ_TIMEOUT_MS = 50.0
+# Framing of the body that is sent to the client.
 CHUNKED = (b"Transfer-Encoding", b"chunked")
 
 
@@ -29,10 +37,10 @@
 
 @dataclass
 class Relay:
-    """What the client has been given of a stream so far."""
+    """What the client has received of a stream so far."""
 
     client: ClientConnection
-    closes: bool
+    close_connection: bool
     head_sent: bool = False
     last_id: str | None = None
     events: int = 0
@@ -40,92 +48,96 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class StreamCompleted:
     """The server ended the stream as complete."""
 
 
 @dataclass(frozen=True)
-class Flow:
-    """What one attempt brings: the answer that has begun, and where it comes from.
+class StreamAttempt:
+    """An attempt at a stream whose answer has started.
 
-    ``began`` is when it was sent, ``give_up_at`` when the first event is so late that another
-    server is worth a try.  ``reconsider`` says why the stream should leave its engine, once it
+    ``sent_at`` is when it was sent, ``first_event_deadline`` when the first event is so late that
+    another server is tried.  ``reconsider`` returns a reason to leave the engine, once the stream
     has begun.
     """
 
-    placed: Placed
-    begun: Begun
+    assignment: Assignment
+    answer_started: AnswerStarted
     attempt: Attempt
     work: int | None
-    began: float
-    give_up_at: float
+    sent_at: float
+    first_event_deadline: float
     event_due_ms: float
     reconsider: Reconsider | None = None
 
 
-def given_up(attempt: Attempt) -> Broke:
-    """Return what an attempt shows that was given up: silence, unless something else ended it."""
-    if not attempt.lost:
+def abandoned_outcome(attempt: Attempt) -> Broke:
+    """Return the outcome of an abandoned attempt: silence, unless something else ended it."""
+    if not attempt.end_reason:
         return Broke(Trouble.SILENT, "the stream fell silent")
-    trouble = Trouble.BROKEN if attempt.gone else Trouble.SILENT
-    return Broke(trouble, attempt.lost, attempt.gone)
+    trouble = Trouble.BROKEN if attempt.server_lost else Trouble.SILENT
+    return Broke(trouble, attempt.end_reason, attempt.server_lost)
 
 
 def silent_ms(request: Request) -> float:
-    """Return after which silence a stream goes on at another engine, if one can take it."""
-    return max(SILENT_MS, PAUSES * request.route.pause_ms)
+    """Return the silence after which a stream continues on another engine, if one can take it."""
+    return max(MIN_SILENCE_MS, MAX_PAUSE_FACTOR * request.route.pause_ms)
 
 
-async def pass_on(
-    gateway: Gateway, request: Request, relay: Relay, flow: Flow
-) -> Ended | Whole | Broke:
-    """Pass the events of one server on, or return its answer if it is not a stream."""
+async def relay_stream(
+    gateway: Gateway, request: Request, relay: Relay, stream: StreamAttempt
+) -> StreamCompleted | WholeAnswer | Broke:
+    """Relay the events of one server, or return its answer if that is not a stream."""
     complete = False
-    begun = flow.begun
+    started = stream.answer_started
     try:
-        if begun.answer.status >= 300:
+        if started.answer.status >= 300:
             parts = []
             seconds = silent_ms(request) / 1000
-            while (data := await read_on(begun.connection, flow.attempt, seconds)) is not None:
+            while (
+                data := await read_body_part(started.connection, stream.attempt, seconds)
+            ) is not None:
                 parts.append(data)
             complete = True
-            return Whole(begun.answer, b"".join(parts))
+            return WholeAnswer(started.answer, b"".join(parts))
         if not relay.head_sent:
             relay.head_sent = True
-            request.status = begun.answer.status
-            headers = [*begun.answer.headers, CHUNKED]
-            if relay.closes:
+            request.status = started.answer.status
+            headers = [*started.answer.headers, CHUNKED]
+            if relay.close_connection:
                 headers.append((b"Connection", b"close"))
-            await relay.client.send_head(begun.answer.status, headers)
-        outcome = await _pass_events(gateway, request, relay, flow)
-        complete = isinstance(outcome, Ended)
+            await relay.client.send_head(started.answer.status, headers)
+        outcome = await _relay_events(gateway, request, relay, stream)
+        complete = isinstance(outcome, StreamCompleted)
         return outcome
     except PeerError as error:
-        return broken(error)
-    except GivenUpError:
-        return given_up(flow.attempt)
+        return connection_failure(error)
+    except AttemptAbandonedError:
+        return abandoned_outcome(stream.attempt)
     finally:
         if complete:
-            keep_or_cut(gateway, flow.placed.server, begun)
+            release_connection(gateway, stream.assignment.server, started)
         else:
-            begun.connection.cut()
+            started.connection.cut()
 
 
-async def _pass_events(
-    gateway: Gateway, request: Request, relay: Relay, flow: Flow
-) -> Ended | Broke:
+async def _relay_events(
+    gateway: Gateway, request: Request, relay: Relay, stream: StreamAttempt
+) -> StreamCompleted | Broke:
     splitter = EventSplitter()
-    placed = flow.placed
+    assignment = stream.assignment
     first = True
     while True:
         patience_ms = silent_ms(request)
         if first:
-            patience_ms = max(LEAST_PATIENCE_MS, flow.give_up_at - now_ms())
-        data = await read_on(flow.begun.connection, flow.attempt, patience_ms / 1000)
+            patience_ms = max(MIN_READ_TIMEOUT_MS, stream.first_event_deadline - now_ms())
+        data = await read_body_part(
+            stream.answer_started.connection, stream.attempt, patience_ms / 1000
+        )
         if data is None:
             if splitter.rest:
                 return Broke(Trouble.BROKEN, "the stream ended in the middle of an event")
-            return Ended()
+            return StreamCompleted()
         events = splitter.feed(data)
         if not events:
             continue
@@ -134,16 +146,16 @@
             pause = now - relay.last_event_at
             request.longest_pause_ms = max(request.longest_pause_ms, pause)
         relay.last_event_at = now
-        flow.attempt.doubt_at = math.inf
-        flow.attempt.expect_within(flow.event_due_ms, now)
+        stream.attempt.recheck_at = math.inf
+        stream.attempt.expect_answer_within(stream.event_due_ms, now)
         if first:
             first = False
-            flow.attempt.rely_on(placed.keepers)
-            flow.attempt.writes = True
-            flow.attempt.reconsider = flow.reconsider
-            if flow.work is not None:
-                gateway.peers.wrote(flow.work)
-            _note_first(gateway, request, flow, now)
+            stream.attempt.depend_on(assignment.memory_holders)
+            stream.attempt.is_streaming = True
+            stream.attempt.reconsider = stream.reconsider
+            if stream.work is not None:
+                gateway.peers.wrote(stream.work)
+            _record_first_event(gateway, request, stream, now)
         fresh = [event for event in events if _is_new(relay, event)]
         if fresh:
             relay.events += len(fresh)
@@ -153,7 +165,7 @@
 
 
 def _is_new(relay: Relay, event: bytes) -> bool:
-    """Tell whether the client has not had an event: a resumed stream may begin too early."""
+    """Tell whether the client lacks an event: a resumed stream may start too early."""
     event_id = id_of(event)
     if event_id is None or relay.last_id is None:
         return True
@@ -162,11 +174,13 @@
     return True
 
 
-def _note_first(gateway: Gateway, request: Request, flow: Flow, now: float) -> None:
-    placed = flow.placed
-    if placed.job is not None and placed.job.short:
-        gateway.foresight.came(placed.expected_ms, now - flow.began)
+def _record_first_event(
+    gateway: Gateway, request: Request, stream: StreamAttempt, now: float
+) -> None:
+    assignment = stream.assignment
+    if assignment.job is not None and assignment.job.short:
+        gateway.foresight.came(assignment.expected_ms, now - stream.sent_at)
     if request.first_ms is None:
         request.first_ms = now - request.arrived_ms
         gateway.latencies.record("first_token", request.first_ms)
-    gateway.directory.prove(*placed.server.start, now)
+    gateway.directory.prove(*assignment.server.start, now)
--- a/siskinspoke/gateway/sending.py
+++ b/siskinspoke/gateway/sending.py
@@ -1,6 +1,7 @@
-"""What servers have asked for, looked at before a request is placed and again before it is sent.
+"""Holds that servers have asked for, checked before a request is placed and before it is sent.
 
-Unlike a guess about a server's health this is a promise: no want of other servers undoes it.
+Unlike an estimate of a server's health a hold is binding: it applies even where no other server is
+left.
 """
 
 import math
@@ -18,34 +19,34 @@
 LEAVING = "leaving"
 
 
-class Held(NamedTuple):
+class Hold(NamedTuple):
     """Why a server gets no request from this VM now, and until when, in milliseconds."""
 
     why: str
     until: float
 
 
-def held(gateway: Gateway, server: ServerRecord, now: float) -> Held | None:
-    """Return what keeps requests from a server, or None."""
+def held(gateway: Gateway, server: ServerRecord, now: float) -> Hold | None:
+    """Return the hold that applies to a server now, or None."""
     known = gateway.directory.find(*server.start)
     if known is not None and known.announcement.leaving:
-        return Held(LEAVING, math.inf)
+        return Hold(LEAVING, math.inf)
     back_off_until = gateway.back_offs.until(server.start)
     if back_off_until > now:
-        return Held(BACK_OFF, back_off_until)
+        return Hold(BACK_OFF, back_off_until)
     closed_until = gateway.rate_limits.closed_until(server.start)
     if closed_until > now:
-        return Held(RATE_LIMIT, closed_until)
+        return Hold(RATE_LIMIT, closed_until)
     return None
 
 
 def _restricts_any(gateway: Gateway) -> bool:
-    """Tell whether any server that has not left restricts this VM's requests."""
+    """Tell whether any server that is not leaving restricts this VM's requests."""
     return bool(gateway.back_offs or gateway.rate_limits)
 
 
 def not_held(gateway: Gateway, records: Iterable[ServerRecord]) -> list[ServerRecord]:
-    """Return those of some servers that have not left to which a request may be sent."""
+    """Return the servers, out of some that are not leaving, to which a request may be sent."""
     if not _restricts_any(gateway):
         return list(records)
     now = now_ms()
@@ -53,12 +54,12 @@
 
 
 def unlimited(gateway: Gateway, records: Iterable[ServerRecord]) -> list[ServerRecord]:
-    """Return the servers that need no permit: one may be denied to who has given up another."""
+    """Return the servers that need no permit: one may be denied after the other server was left."""
     return [item for item in records if gateway.rate_limits.find(item.start) is None]
 
 
 def opens_in_ms(gateway: Gateway, service: str) -> float | None:
-    """Return when a service's first server takes requests again, None unless all are held."""
+    """Return when a service's first server takes requests again, None unless all are on hold."""
     if not _restricts_any(gateway):
         return None
     now = now_ms()
@@ -70,30 +71,30 @@
 
 async def hold_back(
     gateway: Gateway, request_id: str, server: ServerRecord, attempt: Attempt
-) -> Held | None:
-    """Return why a request must not be sent now; obtain the permit that its server wants.
+) -> Hold | None:
+    """Return the hold that forbids sending a request now; obtain a permit where one is needed.
 
-    The permit is kept with the attempt, and only its first use may wait for one.
+    The permit is kept with the attempt; only the first call for an attempt may wait for one.
     """
     limit = gateway.rate_limits.find(server.start)
     now = now_ms()
     has_permit = attempt.permit is not None and now < attempt.permit.until
-    found = held(gateway, server, now)
-    if found is not None and not (has_permit and found.why == RATE_LIMIT):
-        return found
+    hold = held(gateway, server, now)
+    if hold is not None and not (has_permit and hold.why == RATE_LIMIT):
+        return hold
     if limit is None or has_permit:
         return None
-    patience_ms, attempt.patience_ms = attempt.patience_ms, 0.0
-    permit, found = await gateway.permits.obtain(gateway.questions, server, limit, patience_ms)
-    _note(gateway, request_id, server, limit, found, now)
+    patience_ms, attempt.permit_wait_ms = attempt.permit_wait_ms, 0.0
+    permit, hold = await gateway.permits.obtain(gateway.questions, server, limit, patience_ms)
+    _log_permit(gateway, request_id, server, limit, hold, now)
     if isinstance(permit, Denied):
         gateway.counters.count("permit.refused")
-        return Held(RATE_LIMIT, permit.until)
+        return Hold(RATE_LIMIT, permit.until)
     attempt.permit = permit
     return None
 
 
-def _note(
+def _log_permit(
     gateway: Gateway,
     request_id: str,
     server: ServerRecord,
@@ -101,7 +102,7 @@
     found: Found,
     asked_at: float,
 ) -> None:
-    """Write down what was known of a limit when a permit was asked for, and who decided."""
+    """Log a permit request: its rate limit, the VM that decided, and the outcome."""
     name, incarnation = server.start
     gateway.log.note(
         "permit",
--- a/siskinspoke/gateway/upstream.py
+++ b/siskinspoke/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one backend server, and what its first words prove."""
+"""Send a request to one backend server, and interpret the head of its answer."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.reaching import connect_to
 from siskinspoke.gateway.restrictions import hear_answer
-from siskinspoke.gateway.sending import Held, hold_back
+from siskinspoke.gateway.sending import Hold, hold_back
 from siskinspoke.gateway.wire import Answer, Dispatch
 from siskinspoke.transport.http1 import PeerError, RequestHead, ServerConnection
 
@@ -19,8 +19,8 @@
 class NotRun:
     """The server has not run the request and never will.
 
-    ``at_fault`` is the address of a helper that the server names, ``member`` the name of one
-    that this VM could not have.
+    ``at_fault`` is the address of a helper that the server names, ``member`` the name of a group
+    member that this VM could not reserve.
     """
 
     trouble: Trouble
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True)
 class Broke:
-    """Nobody knows whether the server has run the request or will.
+    """It is unknown whether the server has run the request or will run it.
 
     ``gone`` means that the server itself is gone, or out of this VM's reach; ``closed`` that it
-    ended the connection.
+    closed the connection.
     """
 
     trouble: Trouble
@@ -44,29 +44,29 @@
     closed: bool = False
 
 
-def held_back(held: Held) -> NotRun:
-    """Return what it means that a server gets no request now."""
+def not_run_on_hold(held: Hold) -> NotRun:
+    """Return the outcome of an attempt that a server's hold prevented."""
     return NotRun(Trouble.HELD, held.why, arrived=False)
 
 
-def broken(error: PeerError) -> Broke:
-    """Return what a failed connection shows."""
+def connection_failure(error: PeerError) -> Broke:
+    """Return the outcome of an attempt whose connection failed."""
     return Broke(Trouble.BROKEN, str(error), closed=error.closed)
 
 
 @dataclass(frozen=True)
-class Begun:
-    """The server answers; its body is still to be read from the connection."""
+class AnswerStarted:
+    """The server answers; the body is still to be read from the connection."""
 
     answer: Answer
     connection: ServerConnection
 
 
-Outcome = NotRun | Broke | Begun
+Outcome = NotRun | Broke | AnswerStarted
 
 
-class GivenUpError(Exception):
-    """An attempt was given up while its server was silent."""
+class AttemptAbandonedError(Exception):
+    """An attempt was abandoned while its server was silent."""
 
 
 async def send(
@@ -74,41 +74,41 @@
     dispatch: Dispatch,
     server: ServerRecord,
     attempt: Attempt,
-    patience_seconds: float,
-    fresh_ms: float,
+    timeout_seconds: float,
+    max_idle_ms: float,
 ) -> Outcome:
     """Send a request and read the head of its answer.
 
-    After a time of silence the server is given up, if the request can go on elsewhere.
+    After a time of silence the server is abandoned, if the request can continue elsewhere.
 
-    A kept connection is taken only if it was used within ``fresh_ms``.  If the server closed it
-    as the request was written, nothing shows whether the server has read the request, so one
-    that may not be repeated needs a connection that is hardly idle.
+    A pooled connection is reused only if it was used within ``max_idle_ms``.  If the server closes
+    it while the request is written, it is unknown whether the server has read the request, so a
+    request that may not be retried needs a connection that has hardly been idle.
     """
-    found = await hold_back(gateway, dispatch.call.id, server, attempt)
-    if found is not None:
-        return held_back(found)
-    connection = gateway.pool.take(server, now_ms(), fresh_ms)
+    hold = await hold_back(gateway, dispatch.call.id, server, attempt)
+    if hold is not None:
+        return not_run_on_hold(hold)
+    connection = gateway.pool.take(server, now_ms(), max_idle_ms)
     if connection is None:
         connection = await connect_to(gateway, server)
     if connection is None:
         return NotRun(Trouble.UNREACHABLE, "no connection", arrived=False)
-    # A connection may take a second, in which the server asks for something or a permit ends.
-    found = await hold_back(gateway, dispatch.call.id, server, attempt)
-    if found is not None:
+    # Connecting may take a second, in which the server may ask for a hold or the permit may expire.
+    hold = await hold_back(gateway, dispatch.call.id, server, attempt)
+    if hold is not None:
         gateway.pool.put(server, connection)
-        return held_back(found)
+        return not_run_on_hold(hold)
     attempt.sent = True
     finished = False
     try:
         head = gateway.wire.encode_dispatch(dispatch)
         outcome = await _exchange(
-            gateway, dispatch, server, connection, head, attempt, patience_seconds
+            gateway, dispatch, server, connection, head, attempt, timeout_seconds
         )
-        finished = isinstance(outcome, Begun)
+        finished = isinstance(outcome, AnswerStarted)
         return outcome
     finally:
-        # Also when the caller has gone: the reset is what tells the server to stop.
+        # Also when the client has disconnected: the reset tells the server to stop.
         if not finished:
             connection.cut()
 
@@ -120,39 +120,39 @@
     connection: ServerConnection,
     head: RequestHead,
     attempt: Attempt,
-    patience_seconds: float,
+    timeout_seconds: float,
 ) -> Outcome:
-    """Write the request and read the head at once: a server may answer before it has read all."""
-    found: list[Outcome] = []
+    """Write the request while reading the head: a server may answer before it has read it all."""
+    outcomes: list[Outcome] = []
     sent_at = now_ms()
 
     async def read() -> None:
         try:
             answer_head = await connection.read_head()
         except PeerError as error:
-            found.append(broken(error))
+            outcomes.append(connection_failure(error))
         else:
             answer = gateway.wire.decode_answer(answer_head)
             hear_answer(gateway, dispatch.call.id, server, answer, sent_at)
-            found.append(_judge(dispatch, answer, connection))
+            outcomes.append(_classify(dispatch, answer, connection))
         nursery.cancel_scope.cancel()
 
     async def give_up() -> None:
-        await attempt.impatience(patience_seconds)
+        await attempt.wait_for_failover(timeout_seconds)
         nursery.cancel_scope.cancel()
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(connection.send_request, head, dispatch.call.body)
         nursery.start_soon(read)
         nursery.start_soon(give_up)
-    return found[0] if found else Broke(Trouble.SILENT, "no answer in time")
+    return outcomes[0] if outcomes else Broke(Trouble.SILENT, "no answer in time")
 
 
-def _judge(dispatch: Dispatch, answer: Answer, connection: ServerConnection) -> Outcome:
+def _classify(dispatch: Dispatch, answer: Answer, connection: ServerConnection) -> Outcome:
     """Return what the head of an answer proves.
 
-    An answer that names another request, or none, is a late one of an earlier request, which
-    would reach the wrong caller.
+    An answer that names another request, or none, is a late answer to an earlier request, and would
+    reach the wrong caller.
     """
     connection.idle_seconds = answer.idle_seconds
     if answer.misdirected:
@@ -161,27 +161,29 @@
         return NotRun(Trouble.BUSY, f"refused with {answer.status}", True, answer.at_fault)
     if answer.request_id != dispatch.call.id:
         return Broke(Trouble.BROKEN, "the answer belongs to another request")
-    return Begun(answer, connection)
+    return AnswerStarted(answer, connection)
 
 
-async def read_on(connection: ServerConnection, attempt: Attempt, seconds: float) -> bytes | None:
-    """Read a part of an answer's body; None at its end.
+async def read_body_part(
+    connection: ServerConnection, attempt: Attempt, seconds: float
+) -> bytes | None:
+    """Read a part of an answer's body; return None at its end.
 
-    Raise GivenUpError if the attempt was ended, or if nothing came within a time and the request
-    can go on elsewhere.
+    Raise AttemptAbandonedError if the attempt was ended, or if nothing arrived within ``seconds``
+    and the request can continue elsewhere.
     """
     while True:
-        with attempt.within(seconds):
+        with attempt.wait_scope(seconds):
             return await connection.read_data()
-        if attempt.lost or attempt.move_on():
-            raise GivenUpError
+        if attempt.end_reason or attempt.fail_over():
+            raise AttemptAbandonedError
         seconds = ASK_AGAIN_SECONDS
 
 
-def keep_or_cut(gateway: Gateway, server: ServerRecord, begun: Begun) -> None:
-    """Keep a connection whose answer is complete, unless it must not be used again."""
-    connection = begun.connection
-    if connection.finish(now_ms()) and not begun.answer.closes:
+def release_connection(gateway: Gateway, server: ServerRecord, started: AnswerStarted) -> None:
+    """Return a connection to the pool after a complete answer, or close it if not reusable."""
+    connection = started.connection
+    if connection.finish(now_ms()) and not started.answer.closes:
         gateway.pool.put(server, connection)
     else:
         connection.cut()
--- a/siskinspoke/gateway/wire.py
+++ b/siskinspoke/gateway/wire.py
@@ -1,4 +1,4 @@
-"""What the transparent path needs of an adapter: typed calls, dispatches and answers."""
+"""The formats that the gateway needs from an adapter: typed calls, dispatches and answers."""
 
 from typing import NamedTuple, Protocol
 
@@ -10,17 +10,17 @@
 
 
 class Prompt(NamedTuple):
-    """The size of a generation, in tokens."""
+    """The size of a prompt and its longest output, in tokens."""
 
     tokens: int
     max_tokens: int
 
 
 class Call(NamedTuple):
-    """A caller's request; ``deadline_ms`` is how long the caller waits from its arrival.
+    """A client's request; ``deadline_ms`` is how long the client waits from its arrival.
 
-    ``headers`` are those that go on to the server as they are.  ``resume_after`` is the last
-    event of a stream that the caller has.
+    ``headers`` are forwarded to the server unchanged.  ``resume_after`` is the ID of the last event
+    that the client has of a stream.
     """
 
     id: str
@@ -41,7 +41,7 @@
 
 
 class Helper(NamedTuple):
-    """Another engine that reads a part of the prompt, into a reservation if one is named."""
+    """Another engine that prefills a part of the prompt, into a reservation if one is named."""
 
     host: str
     port: int
@@ -49,7 +49,7 @@
 
 
 class Dispatch(NamedTuple):
-    """One sending of a call to a server; ``left_ms`` is what its caller will still wait."""
+    """A call as sent to one server; ``left_ms`` is how long the client will still wait."""
 
     call: Call
     server: str
@@ -61,11 +61,11 @@
 
 
 class Restrictions(NamedTuple):
-    """What a server asks of its callers in an answer, to get fewer requests.
+    """How a server asks in an answer to get fewer requests.
 
-    ``rate_limit`` is in requests a second from all VMs together, None where none is named.
-    ``back_off_ms`` is for how long it wants nothing from this VM; ``leaving`` means that it is
-    about to stop.  ``unreadable`` names the fields whose values mean nothing; such a field
+    ``rate_limit`` is in requests per second from all VMs together, None where none is given.
+    ``back_off_ms`` is for how long it accepts nothing from this VM; ``leaving`` means that it is
+    about to stop.  ``unreadable`` names the fields whose values could not be parsed; such a field
     changes nothing.
     """
 
@@ -76,11 +76,11 @@
 
 
 class Answer(NamedTuple):
-    """What a server's first words mean.
+    """The head of a server's answer, decoded.
 
     ``never_ran`` means that the server has not run the request and never will.  ``misdirected``
-    means that another incarnation has the address.  ``at_fault`` is the address of a helper
-    that failed.  ``idle_seconds`` is how long the server keeps the connection, if it says.
+    means that another incarnation has the address.  ``at_fault`` is the address of a helper that
+    failed.  ``idle_seconds`` is how long the server keeps the idle connection open, if it says so.
     """
 
     status: int
@@ -96,10 +96,10 @@
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of itself.
+    """An engine's report of itself.
 
-    ``pace`` is over 1 where it is slower than its costs say; ``started`` is the Unix millisecond
-    of its start by its own clock, None where it does not say.
+    ``pace`` is over 1 where it is slower than its costs say; ``started`` is the Unix time of its
+    start in milliseconds by its own clock, None where it gives none.
     """
 
     pace: float
@@ -110,16 +110,16 @@
     """An adapter's formats."""
 
     def decode_call(self, head: RequestHead, body: bytes) -> Result[Call, Failure]:
-        """Return the call that a client's request holds."""
+        """Return the call in a client's request."""
 
     def encode_dispatch(self, dispatch: Dispatch) -> RequestHead:
-        """Return the request that a server gets."""
+        """Return the request to send to a server."""
 
     def decode_answer(self, head: AnswerHead) -> Answer:
-        """Return what a server's answer means."""
+        """Return the decoded head of a server's answer."""
 
     def own_answer(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
-        """Return the answer that a failure of this system's own gets."""
+        """Return the answer for a failure of this system itself."""
 
     def table_from(self, document: dict) -> Result[RouteTable, Failure]:
         """Return the route table of a configuration."""
@@ -127,13 +127,13 @@
     def reserve_order(
         self, server: str, name: str, tokens: int, lease_ms: int
     ) -> tuple[RequestHead, bytes]:
-        """Return the order that reserves an engine's memory, or renews a reservation."""
+        """Return the request that reserves an engine's memory, or renews a reservation."""
 
     def report_request(self, server: str) -> RequestHead:
-        """Return the question to an engine how it is."""
+        """Return the request for an engine's report."""
 
     def decode_report(self, status: int, body: bytes) -> EngineReport | None:
-        """Return what an engine says of itself, or None if it cannot be read."""
+        """Return an engine's report, or None if it cannot be read."""
 
     def release_order(self, server: str, name: str) -> tuple[RequestHead, bytes]:
-        """Return the order that gives a reservation back."""
+        """Return the request that releases a reservation."""
--- a/tests/platform/test_lost_servers.py
+++ b/tests/platform/test_lost_servers.py
@@ -1,4 +1,4 @@
-"""Servers that lose their power or are cut off: found by a look, not by callers' patience."""
+"""Servers that lose power or are partitioned: found by a probe, not by client timeouts."""
 
 import time
 
@@ -11,12 +11,12 @@
 from tests.platform.standin_server import Events, Silent
 from tests.platform.test_streams import PROMPT, data_of, event
 
-# A first try of a short prompt waited a second before; a stream 1.4 s.
+# Without probes, the first attempt of a short prompt waits 1 s, and a stream 1.4 s.
 SOON_SECONDS = 0.6
 
 
 class Network:
-    """Stand between the gateway and its servers: connections to dark ports hang."""
+    """Replace the gateway's connect function: connections to ports in ``dark`` hang."""
 
     def __init__(self, monkeypatch):
         self.dark: set[int] = set()
@@ -30,12 +30,12 @@
 
 
 def leave_one(site, two):
-    """Make the next request go to the other server."""
+    """Make the next request go to the server other than ``two``."""
     site.gateway.directory.retire(*site.gateway.directory.latest(two.name).start)
 
 
 async def ask_while(site, path, happen, **headers):
-    """Send a request, let something happen, and return the answer and how long it took."""
+    """Send a request, run ``happen``, and return the answer and how long it took."""
     began = trio.current_time()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reaching.look_forever, site.gateway)
@@ -48,12 +48,12 @@
 
 
 class TestOverdueAnswers:
-    """What waits for a lost server goes on elsewhere within a quarter of a second."""
+    """Requests at a lost server continue on another one within a quarter of a second."""
 
     def test_first_token(self, tmp_path, monkeypatch):
-        """An engine loses its power with short prompts waiting for their first tokens.
+        """An engine loses power while short prompts wait for their first tokens.
 
-        Each waited a second for it, and each other VM found out by a request of its own.
+        Each waited a second, and each other VM found out through a request of its own.
         """
 
         async def run():
@@ -77,7 +77,7 @@
 
         trio.run(run)
 
-    def test_stream_in_the_middle(self, tmp_path, monkeypatch):
+    def test_mid_stream(self, tmp_path, monkeypatch):
         async def run():
             network = Network(monkeypatch)
             script = [Events(last=2, then="silent")]
@@ -98,11 +98,11 @@
 
         trio.run(run)
 
-    def test_next_server_behind_the_same_cut(self, tmp_path, monkeypatch):
-        """A cut parts two servers from this VM; the second still has a kept connection here.
+    def test_next_server_behind_the_same_partition(self, tmp_path, monkeypatch):
+        """Two servers are partitioned from this VM; the second has a pooled connection here.
 
-        That connection took the stream in and said nothing, and with its second server gone the
-        stream was cut, though a third one was well.
+        That connection accepted the stream and never answered, and with its second server lost the
+        stream was truncated, though a third one was healthy.
         """
 
         async def run():
@@ -134,8 +134,8 @@
 
         trio.run(run)
 
-    def test_sound_server_keeps_its_request(self, tmp_path, monkeypatch):
-        """An engine is slow; a look shows that it lives, so its work is not thrown away."""
+    def test_healthy_server_keeps_its_request(self, tmp_path, monkeypatch):
+        """An engine is slow; a probe shows that it is alive, so its work is not discarded."""
 
         async def run():
             Network(monkeypatch)
@@ -151,8 +151,8 @@
 
         trio.run(run)
 
-    def test_call_that_may_not_be_repeated_waits_on(self, tmp_path, monkeypatch):
-        """The cut may heal and the answer come; a second sending could run the order twice."""
+    def test_non_retryable_call_keeps_waiting(self, tmp_path, monkeypatch):
+        """The partition may heal and the answer arrive; a second attempt could run it twice."""
 
         async def run():
             network = Network(monkeypatch)
@@ -170,12 +170,12 @@
 
 
 class TestDoubts:
-    """An engine that takes a request in and never answers is found by the time it takes."""
+    """An engine that accepts a request and never answers is detected by its expected time."""
 
-    def test_second_try_is_in_time(self, tmp_path, monkeypatch):
-        """Two engines of 18 swallow four requests of ten; their machines take connections.
+    def test_second_attempt_is_in_time(self, tmp_path, monkeypatch):
+        """Two of 18 engines never answer four of ten requests; their machines are reachable.
 
-        A short prompt there waited a second, where its target is 300 ms.
+        A short prompt waited a second there, where its target is 300 ms.
         """
 
         async def run():
@@ -198,14 +198,14 @@
         trio.run(run)
 
 
-class TestRefusals:
-    """A server that takes no more connections works on at what it has."""
+class TestRefusedConnections:
+    """A server that accepts no more connections still works on its requests."""
 
-    def test_nothing_ends(self, tmp_path, monkeypatch):
-        """A look is refused, since the server has as many connections as it takes.
+    def test_no_attempt_ends(self, tmp_path, monkeypatch):
+        """A probe is refused, since the server has reached its connection limit.
 
-        Taken for lost, its stream was begun again elsewhere while it worked on: one request ran at
-        more servers than its route allows.
+        The server was taken for lost, and its stream was restarted elsewhere while it still ran:
+        one request ran on more servers than its route allows.
         """
 
         async def refuse(*_args):
@@ -232,10 +232,10 @@
         trio.run(run)
 
 
-class TestHearsay:
-    """Another VM's word starts a look, and the look decides."""
+class TestLossReports:
+    """Another VM's report starts a probe, and the probe decides."""
 
-    def test_lost_for_all(self, tmp_path, monkeypatch):
+    def test_unreachable_for_all(self, tmp_path, monkeypatch):
         async def run():
             network = Network(monkeypatch)
             async with (
@@ -252,8 +252,8 @@
 
         trio.run(run)
 
-    def test_lost_for_the_other_vm_alone(self, tmp_path, monkeypatch):
-        """The VM that tells is itself cut off; its word must not empty the fleet."""
+    def test_unreachable_for_the_reporting_vm_only(self, tmp_path, monkeypatch):
+        """The reporting VM is itself partitioned; its reports must not empty the fleet."""
 
         async def run():
             Network(monkeypatch)
@@ -268,10 +268,10 @@
         trio.run(run)
 
 
-class TestBackAgain:
+class TestRecovery:
     """A server that was lost is used again once it can be reached."""
 
-    def test_found_by_a_look(self, tmp_path, monkeypatch):
+    def test_found_by_a_probe(self, tmp_path, monkeypatch):
         async def run():
             network = Network(monkeypatch)
             async with (
@@ -290,11 +290,11 @@
 
         trio.run(run)
 
-    def test_look_that_was_broken_off(self, tmp_path, monkeypatch):
-        """A caller leaves while its VM tries to reach a lost server, and then the server is back.
+    def test_cancelled_probe(self, tmp_path, monkeypatch):
+        """A client disconnects while its VM connects to a lost server, and then that is back.
 
-        The look counted as under way from then on, so nobody looked again, and the VM passed the
-        server over for good.
+        The probe counted as in progress from then on, so no other was started, and the VM never
+        used the server again.
         """
 
         async def run():
@@ -317,11 +317,11 @@
         trio.run(run)
 
 
-class TestStandingStill:
-    """A VM that stood still itself has learned nothing."""
+class TestStalledVM:
+    """A connection timeout of a VM that stalled itself proves nothing."""
 
-    def test_tries_once_more(self, tmp_path, monkeypatch):
-        """A quota stops the processor for a tenth of a second; all servers would look lost."""
+    def test_connects_once_more(self, tmp_path, monkeypatch):
+        """A CPU quota stalls the VM for 0.1 s; all servers would look lost."""
         tries = []
 
         async def race(_gateway, _server, _seconds):
@@ -340,6 +340,6 @@
                 record = site.gateway.directory.latest(one.name)
                 for _ in range(20):
                     site.gateway.connects.took(4.0)
-                assert await reaching.reach(site.gateway, record) == "connection"
+                assert await reaching.open_connection(site.gateway, record) == "connection"
 
         trio.run(run)
--- a/tests/platform/test_moving.py
+++ b/tests/platform/test_moving.py
@@ -1,4 +1,4 @@
-"""A stream whose engine begins to read a long prompt of another entry VM."""
+"""A stream whose engine starts to prefill a long prompt of another entry VM."""
 
 from collections import deque
 
@@ -12,21 +12,21 @@
 from tests.platform.test_silence import whole_stream
 from tests.platform.test_streams import PROMPT, data_of
 
-# An engine that reads for two seconds writes nothing meanwhile.
+# An engine that prefills for two seconds and emits no tokens meanwhile.
 READS = Events(last=4, silent_after=2, silent_for=2.0)
 SOON_SECONDS = 1.0
 
 
 def long_prompt_at(server: str) -> WorkNews:
-    """Return the news that an engine begins to read a long prompt alone."""
+    """Return the news that an engine starts to prefill a long prompt alone."""
     began = WorkBegan(1, [server], 200_000, 900, 4_000.0, 1_000.0, [], False)
     return WorkNews("10.0.0.9", "s", [began], [], [], [], [], "a", [], [])
 
 
-class TestEngineReads:
-    """Streams stood still for 1.5 s beside the reading, and then went on elsewhere."""
+class TestEnginePrefill:
+    """Streams paused for 1.5 s during the prefill, and only then continued on another engine."""
 
-    def test_stream_goes_on_elsewhere_at_once(self, tmp_path):
+    def test_stream_moves_at_once(self, tmp_path):
         async def run():
             script = deque([READS, Events(first=3, last=4)])
             async with (
@@ -39,7 +39,7 @@
                     server.script = script
                 async with site.asking("/stream/x", **PROMPT) as answers:
                     await until(
-                        lambda: any(item.writes for item in site.gateway.attempts._attempts)
+                        lambda: any(item.is_streaming for item in site.gateway.attempts._attempts)
                     )
                     first = next(server for server in both if server.seen)
                     began = trio.current_time()
@@ -53,7 +53,7 @@
 
         trio.run(run)
 
-    def test_stays_where_nobody_else_is(self, tmp_path):
+    def test_stays_without_another_engine(self, tmp_path):
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
@@ -63,7 +63,7 @@
                 nursery.start_soon(reaching.look_forever, site.gateway)
                 async with site.asking("/stream/x", Deadline_Ms="5000", **PROMPT) as answers:
                     await until(
-                        lambda: any(item.writes for item in site.gateway.attempts._attempts)
+                        lambda: any(item.is_streaming for item in site.gateway.attempts._attempts)
                     )
                     site.gateway.peers._hear_news(long_prompt_at(one.name))
                 assert data_of(answers[0].body) == whole_stream(4)
--- a/tests/platform/test_next_step.py
+++ b/tests/platform/test_next_step.py
@@ -1,4 +1,4 @@
-"""The next step of a request: taken before the present one is given up, or not at all."""
+"""The failover of a request: planned before the attempt is abandoned, or not at all."""
 
 import time
 from collections import deque
@@ -26,24 +26,24 @@
 from tests.platform.test_streams import PROMPT, data_of
 
 
-def leave_one_repeat(site) -> None:
-    """Leave exactly one repeat in the budget."""
+def leave_one_retry(site) -> None:
+    """Leave exactly one retry in the budget."""
     spend_budget(site)
     while not site.gateway.budget.has_left("engines", now_ms()):
         site.gateway.budget.first_attempt("engines", now_ms())
 
 
 def fill(site, name: str, streams: int = 12) -> None:
-    """Enter so many streams at an engine into the books; 12 are all that it takes."""
+    """Enter so many streams at an engine into the books; 12 are its maximum."""
     for _ in range(streams):
         site.gateway.peers.began(Work(Job(1_000, 200, 300, 250), (name,), now_ms(), ()))
 
 
-class TestNoNextStep:
-    """Moments at which nobody can go on, though the attempt is given up."""
+class TestNoFailover:
+    """The attempt would be abandoned, but no other server can continue the request."""
 
-    def test_tries_used_up(self, tmp_path):
-        """Five engines say that they are busy, the sixth begins and falls silent."""
+    def test_attempts_used_up(self, tmp_path):
+        """Five engines answer that they are busy, the sixth starts a stream and pauses."""
 
         async def run():
             scripts = [[Events()]] * 7
@@ -57,8 +57,8 @@
 
         trio.run(run)
 
-    def test_second_thoughts_leave_out_who_was_tried(self, tmp_path):
-        """The only other engine has refused this very request; there is nobody to move to."""
+    def test_reconsidering_excludes_tried_servers(self, tmp_path):
+        """The only other engine has refused this very request; there is none to move it to."""
 
         async def run():
             async with (
@@ -97,7 +97,7 @@
         trio.run(run)
 
     def test_other_is_unreachable(self, tmp_path):
-        """The only other engine is known to be out of reach."""
+        """The only other engine is known to be unreachable."""
 
         async def run():
             script = [PAUSED]
@@ -112,8 +112,8 @@
         trio.run(run)
 
     @pytest.mark.parametrize("wanting", ["budget", "room"])
-    def test_one_next_step_for_many(self, tmp_path, wanting):
-        """A look finds an engine out of reach; three wait there, and one of them can go on."""
+    def test_one_failover_for_many_streams(self, tmp_path, wanting):
+        """A probe finds an engine unreachable; three streams wait there, and one can fail over."""
 
         async def run():
             script = [Events(last=3, begin_after=LONG)]
@@ -127,13 +127,13 @@
                     for number in range(3):
                         nursery.start_soon(ask, number)
                     await until(lambda: len(one.seen) == 3)
-                    # It keeps its place taken for longer than the three are patient.
+                    # Its slot stays taken for longer than the three attempts wait.
                     other = await late_server(site, Events(last=3, pause=0.6))
                     if wanting == "budget":
-                        leave_one_repeat(site)
+                        leave_one_retry(site)
                     else:
                         fill(site, other.name, 11)
-                    reaching.lost(site.gateway, site.gateway.directory.latest(one.name))
+                    reaching.mark_unreachable(site.gateway, site.gateway.directory.latest(one.name))
                 assert [answer.status for answer in answers] == [200] * 3
                 assert len(other.seen) == 1
 
@@ -141,14 +141,14 @@
 
 
 class TestManyWaiting:
-    """Many streams of one VM whose engines are silent, in a full fleet."""
+    """Many streams of one VM whose engines pause, in a full fleet."""
 
     @pytest.mark.parametrize("stands_still", [0.0, LONG])
-    def test_they_look_for_room_together(self, tmp_path, stands_still):
-        """Twelve streams are silent for a second longer than they are patient.
+    def test_searches_for_room_are_shared(self, tmp_path, stands_still):
+        """Twelve streams are silent for a second beyond the silence limit.
 
-        Each looked for room five times a second; 200 such streams took all of the VM's processor.
-        One look serves all for a while, however long the VM has stood still meanwhile.
+        Each searched for room five times a second; 200 such streams used up the VM's CPU.  One
+        search serves all streams for a while, however long the VM has stalled meanwhile.
         """
         looks = []
 
@@ -173,8 +173,8 @@
         pauses = [later - earlier for earlier, later in pairwise(looks)]
         assert all(pause >= FULL_MS for pause in pauses)
 
-    def test_nothing_is_left_in_the_books(self, tmp_path):
-        """Streams take their next places before they leave, and are ended in between."""
+    def test_books_are_empty_afterwards(self, tmp_path):
+        """Streams reserve their next places before they leave, and are cancelled in between."""
 
         async def run():
             script = [Events(last=2, then="silent")]
@@ -187,11 +187,11 @@
         trio.run(run)
 
 
-class TestNextStepRefuses:
-    """Whoever seemed to have room says that it has none, behind the given-up attempt."""
+class TestFailoverRefused:
+    """The server chosen for a failover refuses, after the first attempt was abandoned."""
 
     def test_stream(self, tmp_path):
-        """A stream leaves its silent engine for one that refuses; the first would go on."""
+        """A stream leaves its silent engine for one that refuses; the first would continue."""
 
         async def run():
             script = [PAUSED]
@@ -203,8 +203,8 @@
 
         trio.run(run)
 
-    def test_failure_in_place_of_the_rest(self, tmp_path):
-        """The engine that is to go on answers 404; the caller already holds a part of the answer.
+    def test_failure_in_mid_stream(self, tmp_path):
+        """The engine that should resume a stream answers 404; the client already has a part.
 
         The connection was cut, as it must be, but the logs and counters said "served".
         """
@@ -241,8 +241,8 @@
 
         trio.run(run)
 
-    def test_busy_once_is_not_busy_for_good(self, tmp_path):
-        """A stream that waits for room finds the engine that was full a moment ago."""
+    def test_busy_engine_is_tried_again(self, tmp_path):
+        """A stream that waits for room continues on an engine that was full a moment ago."""
 
         async def run():
             async with (
@@ -259,10 +259,10 @@
 
 
 class TestLeavingServers:
-    """What a leaving server's break shows of the work there."""
+    """What a broken connection shows of the work at a server that is leaving."""
 
     def test_answer_of_another_request(self, tmp_path):
-        """A leaving server has run a call and mixes the answers up; it has not ended.
+        """A leaving server has run a call and mixes up its answers; it has not stopped its work.
 
         With two attempts allowed, three servers must not run the call.
         """
@@ -285,11 +285,11 @@
         trio.run(run)
 
 
-class TestGuards:
-    """What waiting for a next step must not break."""
+class TestGuarantees:
+    """Guarantees that must hold while a request waits for a failover."""
 
-    def test_nobody_runs_for_a_caller_who_left(self, tmp_path):
-        """A stream waits for room, its caller leaves, and then there is room."""
+    def test_no_run_after_client_disconnect(self, tmp_path):
+        """A stream waits for room, its client disconnects, and then there is room."""
 
         async def run():
             script = [Events(last=2, then="cut")]
@@ -307,8 +307,8 @@
         trio.run(run)
 
     @pytest.mark.parametrize("behaviour", [Close(), Events(last=0, then="cut")])
-    def test_what_may_have_run_is_no_503(self, tmp_path, behaviour):
-        """A stream that may not be repeated breaks before its first event, at a leaving engine."""
+    def test_request_that_may_have_run_gets_no_503(self, tmp_path, behaviour):
+        """A stream that may not be retried breaks before its first event, at a leaving engine."""
 
         async def run():
             async with (
@@ -324,7 +324,7 @@
         trio.run(run)
 
     def test_waiting_streams_keep_to_the_budget(self, tmp_path):
-        """Six streams break together and one repeat is left: only one goes on at once."""
+        """Six streams break together and one retry is left: only one continues at once."""
 
         async def run():
             script = [Events(last=2, pause=0.1, then="cut")]
@@ -339,7 +339,7 @@
                     )
                 await until(lambda: len(one.seen) == 6)
                 other = await late_server(site, Events(last=4))
-                leave_one_repeat(site)
+                leave_one_retry(site)
                 await until(lambda: other.seen)
                 await trio.sleep(0.8)
                 assert len(other.seen) == 1
@@ -348,11 +348,11 @@
         trio.run(run)
 
 
-class TestPaidInVain:
-    """A repeat that is paid for a late call, and not used, goes back to the budget."""
+class TestUnusedRetry:
+    """A retry that is reserved for a late call, and not used, returns to the budget."""
 
-    def test_call_that_is_answered_after_all(self, tmp_path):
-        """The other server leaves in the moment in which the next attempt would begin."""
+    def test_late_call_is_answered(self, tmp_path):
+        """The other server leaves at the moment when the next attempt would start."""
 
         async def run():
             async with (
--- a/tests/platform/test_taken_steps.py
+++ b/tests/platform/test_taken_steps.py
@@ -1,4 +1,4 @@
-"""Steps that are taken too early, too late or twice, and servers that are left out for too long."""
+"""Failovers planned too early, too late or twice, and servers that are excluded for too long."""
 
 from collections import deque
 
@@ -15,28 +15,28 @@
 from tests.platform.test_streams import PROMPT, data_of
 
 
-def take_step_with_the_answer(monkeypatch) -> None:
-    """Have a server's patience end in the very moment in which the head of its answer comes."""
+def fail_over_with_the_answer(monkeypatch) -> None:
+    """Plan the failover in the very tick in which the head of the answer arrives."""
     exchange = upstream._exchange
 
     async def both(gateway, dispatch, server, connection, head, attempt, seconds):
         outcome = await exchange(gateway, dispatch, server, connection, head, attempt, seconds)
-        assert attempt.move_on()
+        assert attempt.fail_over()
         return outcome
 
     monkeypatch.setattr(upstream, "_exchange", both)
 
 
 def repeats(site, service: str = "engines") -> int:
-    """Return how many repeats the VM has paid."""
+    """Return how many retries the VM has taken from its budget."""
     return site.gateway.budget._own[service].repeats
 
 
-class TestLeftOut:
-    """Engines that are well again, or have room again, and are left out all the same."""
+class TestExcludedServers:
+    """Engines that have recovered, or have room again, and are excluded all the same."""
 
     def test_refused_once_then_silence(self, tmp_path):
-        """One engine was busy for a moment; the other begins and falls silent for good."""
+        """One engine was busy for a moment; the other starts the stream and then stays silent."""
 
         async def run():
             async with (
@@ -67,8 +67,8 @@
 
         trio.run(run)
 
-    def test_refused_once_then_out_of_reach(self, tmp_path, monkeypatch):
-        """The engine that writes loses its power; the other one has long had room again."""
+    def test_refused_once_then_unreachable(self, tmp_path, monkeypatch):
+        """The engine that writes loses power; the other one has long had room again."""
 
         async def run():
             network = Network(monkeypatch)
@@ -91,8 +91,8 @@
 
         trio.run(run)
 
-    def test_two_engines_start_anew_in_turn(self, tmp_path):
-        """Both have ended their work by starting anew, so both are well and nothing has run."""
+    def test_two_engines_restart_in_turn(self, tmp_path):
+        """Both engines stop their work by restarting; both are healthy and nothing is running."""
 
         async def run():
             async with (
@@ -117,7 +117,7 @@
 
         trio.run(run)
 
-    def test_refusals_use_up_the_tries(self, tmp_path):
+    def test_refusals_use_up_the_attempts(self, tmp_path):
         """The only other engine is full for a second and a half; the stream has five seconds."""
 
         async def run():
@@ -136,12 +136,13 @@
 
 
 class TestFullness:
-    """What one stream has found full is not full for another one."""
+    """Engines that are full for one stream may have room for another one."""
 
-    def test_each_leaves_out_its_own_server(self, tmp_path):
-        """Two streams are silent at an engine each; the first one's is the only one with room.
+    def test_each_stream_excludes_its_own_engine(self, tmp_path):
+        """Two streams are silent at an engine each; only the first stream's engine has room.
 
-        The first finds none, as its own is left out; the second asks a little later each time.
+        The first finds no room, as its own engine is excluded; the second searches a little later
+        each time.
         """
 
         async def run():
@@ -157,7 +158,7 @@
                 await until(lambda: one.seen)
                 began = trio.current_time()
                 one_record = site.gateway.directory.latest(one.name)
-                # The second one goes to an engine that is full but for it.
+                # The second stream goes to an engine that is otherwise full.
                 other = await late_server(site, silent)
                 fill(site, other.name, 11)
                 believed = site.gateway.directory.believed_among
@@ -180,12 +181,12 @@
         trio.run(run)
 
 
-class TestPaid:
-    """What is paid or entered for a step that is not a repeat, or is not taken."""
+class TestReservedRetry:
+    """Retries and book entries of a failover that is no retry, or that does not take place."""
 
     @pytest.mark.parametrize("path", ["/stream/x", "/again/x"])
-    def test_first_sending_is_no_repeat(self, tmp_path, monkeypatch, path):
-        """A request's server takes no connection; nothing was sent, so nothing is repeated."""
+    def test_first_attempt_is_no_retry(self, tmp_path, monkeypatch, path):
+        """A request's server accepts no connection; nothing was sent, so nothing is retried."""
 
         async def run():
             network = Network(monkeypatch)
@@ -208,7 +209,7 @@
         trio.run(run)
 
     def test_connecting_is_no_attempt(self, tmp_path, monkeypatch):
-        """Two requests connect to a dark engine; the first one's failure ends the second.
+        """Two requests connect to an unreachable engine; the first failure ends the other.
 
         Nothing has reached a server, so two attempts are still allowed.
         """
@@ -242,10 +243,11 @@
 
         trio.run(run)
 
-    def test_step_taken_as_the_answer_comes(self, tmp_path, monkeypatch):
-        """An answer begins in the very tick in which its server's patience is over.
+    def test_failover_planned_as_the_answer_arrives(self, tmp_path, monkeypatch):
+        """An answer starts in the very tick in which its server's timeout expires.
 
-        The stream is served, and its next place stays taken until it ends, its repeat for good.
+        The stream was served, but its next place stayed reserved until it ended, and its retry was
+        lost.
         """
 
         async def run():
@@ -254,7 +256,7 @@
                 gateway_site(tmp_path, timeout_ms=5_500) as site,
                 servers(site, "engines", script) as (one,),
             ):
-                take_step_with_the_answer(monkeypatch)
+                fail_over_with_the_answer(monkeypatch)
                 async with site.asking("/stream/x", Deadline_Ms="5500", **PROMPT) as answers:
                     await until(lambda: one.seen)
                     other = await late_server(site, Events(last=30))
@@ -267,10 +269,10 @@
 
         trio.run(run)
 
-    def test_slow_reader_holds_a_step(self, tmp_path):
-        """A look finds a stream's engine out of reach while its caller reads nothing for a second.
+    def test_slow_reader_delays_a_planned_failover(self, tmp_path):
+        """A probe finds a stream's engine unreachable while its client reads nothing for 1 s.
 
-        The next place was taken at once and used when the caller read again; its engine had been
+        The next place was reserved at once and used when the client read again; its engine had been
         drained meanwhile.
         """
 
@@ -293,7 +295,9 @@
                         await until(lambda: one.seen)
                         await trio.sleep(0.1)
                         other = await late_server(site, Events(last=12))
-                        reaching.lost(site.gateway, site.gateway.directory.latest(one.name))
+                        reaching.mark_unreachable(
+                            site.gateway, site.gateway.directory.latest(one.name)
+                        )
                         await trio.sleep(1.0)
                         site.announce(other, "engines", seq=2, leaving=True)
                         third = await late_server(site, Events(last=12), "i-third")
@@ -305,8 +309,8 @@
 
         trio.run(run)
 
-    def test_step_grows_stale(self, tmp_path, monkeypatch):
-        """As above; the next place's engine is drained long before the stream falls silent."""
+    def test_planned_failover_expires(self, tmp_path, monkeypatch):
+        """The same, where the planned engine is drained long before the stream falls silent."""
 
         async def run():
             script = [Events(last=10, begin_after=0.9, pause=0.05, then="silent")]
@@ -314,7 +318,7 @@
                 gateway_site(tmp_path, timeout_ms=5_500) as site,
                 servers(site, "engines", script) as (one,),
             ):
-                take_step_with_the_answer(monkeypatch)
+                fail_over_with_the_answer(monkeypatch)
                 async with site.asking("/stream/x", Deadline_Ms="5500", **PROMPT):
                     await until(lambda: one.seen)
                     other = await late_server(site, Events(last=30))
