--- a/tests/platform/test_plain_calls.py
+++ b/tests/platform/test_plain_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services through the adapter, before servers that misbehave."""
+"""Calls of plain services through the adapter, to servers that misbehave."""
 
 import trio
 
@@ -7,7 +7,7 @@
 
 
 class TestWholeAnswers:
-    """A client gets the whole answer to its own request and nothing else."""
+    """A client gets the complete answer to its own request and nothing else."""
 
     def test_answer_passes_unchanged(self, tmp_path):
         async def run():
@@ -26,8 +26,8 @@
 
         trio.run(run)
 
-    def test_a_client_cannot_name_its_customer(self, tmp_path):
-        """A caller sets the customer's header itself; the server must see the key's holder."""
+    def test_client_cannot_set_its_customer(self, tmp_path):
+        """A client sends the customer header itself; the server must see the API key's customer."""
 
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]) as (one,):
@@ -38,10 +38,10 @@
 
         trio.run(run)
 
-    def test_extra_answer_reaches_nobody(self, tmp_path):
-        """A server sends a second answer after the first, and the connection is used again.
+    def test_extra_answer_is_discarded(self, tmp_path):
+        """A server sends a second answer after the first, and the connection is reused.
 
-        The next caller would be given the extra bytes as its own answer.
+        The next client would receive the extra bytes as its own answer.
         """
 
         async def run():
@@ -55,8 +55,8 @@
 
         trio.run(run)
 
-    def test_answer_of_another_request_is_dropped(self, tmp_path):
-        """An earlier request's late answer comes where this one's is due."""
+    def test_answer_to_another_request_is_discarded(self, tmp_path):
+        """An earlier request's late answer arrives where this one's is expected."""
 
         async def run():
             script = [Whole(b"late", request_id=b"r0")]
@@ -83,7 +83,7 @@
 
         trio.run(run)
 
-    def test_connections_are_kept(self, tmp_path):
+    def test_connections_are_reused(self, tmp_path):
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]) as (one,):
                 for number in range(5):
@@ -96,11 +96,10 @@
 class TestAtMostOnce:
     """A non-idempotent request runs at most once, and "not run" is true."""
 
-    def test_a_closed_connection_is_not_sent_again(self, tmp_path):
-        """A server reads a charge and closes without a word; it may have run.
+    def test_closed_connection_is_not_retried(self, tmp_path):
+        """A server reads a payment request and closes without an answer; it may have run.
 
-        A second send to another server would charge twice; a 503 would make the client send it
-        again itself.
+        A retry on another server would charge twice; a 503 would make the client retry it itself.
         """
 
         async def run():
@@ -114,7 +113,7 @@
 
         trio.run(run)
 
-    def test_a_refusal_goes_to_another_server(self, tmp_path):
+    def test_refusal_is_retried_on_another_server(self, tmp_path):
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
@@ -125,7 +124,7 @@
 
         trio.run(run)
 
-    def test_all_refuse(self, tmp_path):
+    def test_all_servers_refuse(self, tmp_path):
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Refuse()]):
                 answer = await site.ask("/once/x")
@@ -134,8 +133,8 @@
 
         trio.run(run)
 
-    def test_another_server_at_the_address(self, tmp_path):
-        """A server's address is used by another one, which answers 421; it gets no more work."""
+    def test_address_reused_by_another_server(self, tmp_path):
+        """A server's address is reused by another one, which answers 421 and gets no more work."""
 
         async def run():
             script = [Refuse(421, (b"Instance-Id: i-other",))]
@@ -150,8 +149,10 @@
         trio.run(run)
 
     def test_silence_ends_at_the_timeout(self, tmp_path):
-        """A server reads a charge and hangs; the caller gets a last word in time, and it says
-        nothing about whether the charge ran."""
+        """A server reads a payment request and hangs.
+
+        The client gets a failure in time, which does not claim that the request has or has not run.
+        """
 
         async def run():
             async with (
@@ -167,9 +168,9 @@
 
 
 class TestIdempotent:
-    """A request that may be repeated is, within its attempts."""
+    """A request that may be repeated is retried, up to its maximum of attempts."""
 
-    def test_error_is_tried_elsewhere(self, tmp_path):
+    def test_error_is_retried_on_another_server(self, tmp_path):
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
@@ -180,7 +181,7 @@
 
         trio.run(run)
 
-    def test_no_more_servers_than_attempts(self, tmp_path):
+    def test_attempts_are_limited(self, tmp_path):
         async def run():
             scripts = [[Whole(status=500)]] * 4
             async with gateway_site(tmp_path) as site, servers(site, "plain", *scripts) as four:
@@ -191,8 +192,8 @@
 
         trio.run(run)
 
-    def test_a_dark_server_is_set_aside(self, tmp_path):
-        """A server reads requests and never answers; callers wait for it once, not each time."""
+    def test_unresponsive_server_is_set_aside(self, tmp_path):
+        """A server reads requests and never answers; clients wait for it once, not each time."""
 
         async def run():
             async with (
@@ -207,10 +208,10 @@
 
 
 class TestClients:
-    """Clients that go, lack a key, or come before there is a configuration."""
+    """Clients that disconnect, lack a key, or connect before there is a configuration."""
 
-    def test_a_gone_client_stops_its_server(self, tmp_path):
-        """A clerk closes the window; the server must not go on working for nobody."""
+    def test_client_disconnect_stops_the_server(self, tmp_path):
+        """A client disconnects; the server must stop its work."""
 
         async def run():
             async with (
@@ -234,8 +235,8 @@
 
         trio.run(run)
 
-    def test_a_revoked_key_stops_on_an_open_connection(self, tmp_path):
-        """A key is taken away while its client keeps a connection open and goes on asking."""
+    def test_revoked_key_is_refused_on_an_open_connection(self, tmp_path):
+        """A key is revoked while its client keeps sending requests on an open connection."""
 
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]):
@@ -252,7 +253,7 @@
         trio.run(run)
 
     def test_no_configuration_yet(self, tmp_path):
-        """A VM that has just started knows no route: it must not say that there is none."""
+        """A VM that has just started knows no route, and must not answer that there is none."""
 
         async def run():
             async with gateway_site(tmp_path, configured=False) as site:
@@ -280,9 +281,9 @@
 
 
 class TestConfiguration:
-    """The configuration in force never goes back."""
+    """The configuration in force is never replaced by an older one."""
 
-    def test_an_older_one_is_not_installed(self, tmp_path):
+    def test_older_configuration_is_not_installed(self, tmp_path):
         """A control VM that lags offers an older configuration to an entry VM."""
 
         async def run():
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through the adapter: whole events, resumed once, never joined."""
+"""Streams through the adapter: events are whole, sent once, and resumed after a failure."""
 
 import json
 
@@ -40,7 +40,7 @@
 
 
 class TestStreams:
-    """Events arrive in order, once, and an answer that ends early looks cut."""
+    """Events arrive in order and once, and an answer that ends early looks truncated."""
 
     def test_events_pass_whole(self, tmp_path):
         async def run():
@@ -57,11 +57,11 @@
 
         trio.run(run)
 
-    def test_a_torn_event_is_resumed_elsewhere(self, tmp_path):
+    def test_partial_event_is_resumed_on_another_server(self, tmp_path):
         """A server crashes in the middle of an event.
 
-        The caller must get the rest from another server, with no event twice and none missing,
-        under the first server's head.
+        The client must get the rest from another server, with no event duplicated or missing, under
+        the first server's head.
         """
 
         async def run():
@@ -85,7 +85,7 @@
         trio.run(run)
 
     def test_a_silent_server_is_left(self, tmp_path):
-        """A server's connection falls silent in mid-stream without a reset."""
+        """A server's connection stops delivering in mid-stream without a reset."""
 
         async def run():
             script = [Events(last=2, then="silent")]
@@ -105,8 +105,8 @@
 
         trio.run(run)
 
-    def test_a_stream_that_may_not_be_resumed_looks_cut(self, tmp_path):
-        """A stream breaks off and must not run twice: its end must not look like an end."""
+    def test_non_resumable_stream_is_truncated(self, tmp_path):
+        """A stream that must not run twice breaks off; the client must see that it is truncated."""
 
         async def run():
             script = [Events(last=2, then="cut")]
@@ -121,7 +121,7 @@
 
         trio.run(run)
 
-    def test_the_callers_own_place_in_the_stream(self, tmp_path):
+    def test_client_resumes_with_last_event_id(self, tmp_path):
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
@@ -133,8 +133,8 @@
 
         trio.run(run)
 
-    def test_gone_client_stops_the_engine(self, tmp_path):
-        """A clerk closes the window before the first token: the engine must not read on."""
+    def test_client_disconnect_stops_the_engine(self, tmp_path):
+        """A client disconnects before the first token: the engine must stop its prefill."""
 
         async def run():
             async with (
@@ -150,8 +150,8 @@
 
         trio.run(run)
 
-    def test_timeout_cuts_a_stream(self, tmp_path):
-        """A stream outlasts its route's timeout; the end must come then, and look cut."""
+    def test_timeout_truncates_a_stream(self, tmp_path):
+        """A stream exceeds its route's timeout; it must end then, and look truncated."""
 
         async def run():
             async with (
@@ -167,9 +167,9 @@
 
 
 class TestLongPrompts:
-    """Prompts that several engines read, or that none holds alone."""
+    """Prompts that several engines prefill, or that no engine holds alone."""
 
-    def test_long_prompt_is_read_by_several(self, tmp_path):
+    def test_long_prompt_is_prefilled_by_several_engines(self, tmp_path):
         async def run():
             scripts = [[Events(last=2)]] * 6
             async with gateway_site(tmp_path) as site, servers(site, "engines", *scripts) as six:
@@ -181,8 +181,8 @@
 
         trio.run(run)
 
-    def test_a_line_names_the_engines_that_read_together(self, tmp_path):
-        """Several engines fell silent at once, and no line told which prompt they all read."""
+    def test_group_of_engines_is_logged(self, tmp_path):
+        """Several engines paused at once, and no log line told which prompt they all prefilled."""
 
         async def run():
             scripts = [[Events(last=2)]] * 6
@@ -200,11 +200,11 @@
         assert len(set(line["servers"])) == 6
         assert line["leaving"] == []
         assert line["tokens"] == 154_000
-        # 870 ms of tokens and 2,182 ms of pairs, in six parts.
+        # 870 ms for tokens and 2,182 ms for pairs, split six ways.
         assert line["read"] == 509
 
-    def test_prompt_over_one_engines_memory_is_reserved_and_released(self, tmp_path):
-        """A prompt of more than twice one engine's memory: all parts are held, or none."""
+    def test_prompt_larger_than_one_engines_memory_is_reserved_and_released(self, tmp_path):
+        """A prompt of over twice one engine's memory: all parts are reserved, or none."""
 
         async def run():
             scripts = [[Whole(), Events(last=2)]] + [[Whole()]] * 5
@@ -219,8 +219,8 @@
 
         trio.run(run)
 
-    def test_a_refused_part_gives_the_others_back(self, tmp_path):
-        """One engine has no memory left; what the others set aside must not stay taken."""
+    def test_refused_reservation_releases_the_others(self, tmp_path):
+        """One engine has no memory left; what the others reserved must be released."""
 
         async def run():
             scripts = [[Whole()]] + [[Refuse(409)]] * 4
@@ -236,12 +236,12 @@
 
         trio.run(run)
 
-    def test_many_dead_engines_are_passed_over(self, tmp_path):
+    def test_unreachable_engines_do_not_use_up_attempts(self, tmp_path):
         """Eight of fourteen engines have crashed and are not yet known to be gone.
 
-        They look idle, so each group for a prompt that needs several holds some of them.  If tries
-        that reach no engine are counted like others, the caller is refused within 0.1 s although
-        six engines are well.
+        They look idle, so each group for a prompt that needs several engines contains some of them.
+        If attempts that reach no engine counted like others, the client would be refused within 0.1
+        s although six engines are healthy.
         """
 
         async def run(seed):
