--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -1,4 +1,4 @@
-"""Servers that say nothing for a while: left only for another one, and otherwise waited for."""
+"""Servers that pause: abandoned only for another server, and otherwise waited for."""
 
 import math
 from collections import deque
@@ -12,40 +12,40 @@
 from tests.platform.test_lost_servers import Network
 from tests.platform.test_streams import PROMPT, data_of, event
 
-# Longer than the 1.4 s after which a stream goes on elsewhere, within the 2.5 s of the request.
+# Longer than the 1.4 s after which a stream fails over, within the 2.5 s of the request.
 LONG = 1.8
-# Longer than a first try of a plain call with 2.5 s is waited for.
+# Longer than the first attempt's timeout in a plain call with 2.5 s.
 LONG_CALL = 1.4
 PAUSED = Events(last=4, silent_after=2, silent_for=LONG)
 
 
 def whole_stream(last: int) -> bytes:
-    """Return the data of a stream that ends with an event."""
+    """Return the data of a stream that ends with event ``last``."""
     return b"".join(event(number) for number in range(1, last + 1))
 
 
 def spend_budget(site, service: str = "engines") -> None:
-    """Use up what repeats the VM may send."""
+    """Use up the retry budget."""
     while site.gateway.budget.take(service, now_ms()):
         pass
 
 
 class TestSilentStream:
-    """A stream in mid-answer whose engine says nothing for longer than a pause may last.
+    """A stream in mid-answer whose engine pauses for longer than a pause may last.
 
-    An engine that reads a long prompt writes nothing to its streams meanwhile, and then goes on.
-    With short prompts at 2.6 times the usual rate 35 streams of 1,700 were reset after 1.4 s of
-    that, though no other engine was asked to go on: 29 lines said "why":"no_place" and 6 said
-    "why":"attempts_used", all with "unreachable":false.  Where they were waited for, 68 went on
-    by themselves after 1.41 to 1.83 s.
+    An engine that prefills a long prompt emits no tokens to its streams, and then continues.  With
+    short prompts at 2.6 times the usual rate, 35 streams of 1,700 were reset after 1.4 s of that,
+    though no other engine was asked to continue them: 29 log lines had "why":"no_place" and 6
+    "why":"attempts_used", all with "unreachable":false.  Where the streams were waited for, 68
+    continued by themselves after 1.41 to 1.83 s.
     """
 
     def test_attempts_used_up(self, tmp_path):
-        """A caller's stream was accepted, had begun, and was reset with six seconds left.
+        """A stream that had begun was reset with six seconds left.
 
         Its first engine was leaving and closed the connection without having run the request; the
-        second wrote for two seconds and fell silent.  Both counted as attempts, and two were
-        allowed, so the VM gave the second one up although nobody could go on for it.
+        second sent tokens for two seconds and paused.  Both counted as attempts, and two were
+        allowed, so the VM abandoned the second one although no other could continue the stream.
         """
 
         async def run():
@@ -62,7 +62,7 @@
         trio.run(run)
 
     def test_no_other_engine(self, tmp_path):
-        """All other engines are full, so the stream has nowhere to go on."""
+        """All other engines are full, so the stream cannot continue elsewhere."""
 
         async def run():
             async with (
@@ -76,7 +76,7 @@
         trio.run(run)
 
     def test_budget_spent(self, tmp_path):
-        """Another engine is free, but the budget for repeats is spent."""
+        """Another engine is free, but the retry budget is spent."""
 
         async def run():
             async with (
@@ -90,7 +90,7 @@
 
         trio.run(run)
 
-    def test_stream_that_may_not_be_repeated(self, tmp_path):
+    def test_non_retryable_stream(self, tmp_path):
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
@@ -102,8 +102,8 @@
 
         trio.run(run)
 
-    def test_goes_on_as_soon_as_there_is_another(self, tmp_path):
-        """The engine is silent for good; after its time is over another one has room."""
+    def test_fails_over_once_another_engine_has_room(self, tmp_path):
+        """The engine is silent for good; after the silence limit another one has room."""
 
         async def run():
             script = [Events(last=2, then="silent")]
@@ -119,10 +119,10 @@
 
         trio.run(run)
 
-    def test_engine_out_of_reach_for_a_while(self, tmp_path, monkeypatch):
-        """A cut parts the VM from the only engine with room and heals within a second.
+    def test_engine_unreachable_for_a_while(self, tmp_path, monkeypatch):
+        """A partition separates the VM from the only engine with room and heals within a second.
 
-        A look found the engine out of reach and ended the stream, which nobody could go on with.
+        A probe found the engine unreachable and ended the stream, which no other could continue.
         """
 
         async def run():
@@ -146,12 +146,12 @@
 
 
 class TestBrokenStream:
-    """A stream whose engine breaks off at a moment when no other one has room."""
+    """A stream whose engine breaks off when no other engine has room."""
 
     def test_waits_for_room(self, tmp_path):
         """An engine that leaves cuts its streams; half a second later another one has room.
 
-        Three of 38 streams were cut at once, "why":"no_place", with up to seven seconds left.
+        Three of 38 streams were truncated at once, "why":"no_place", with up to seven seconds left.
         """
 
         async def run():
@@ -168,7 +168,7 @@
         trio.run(run)
 
     def test_waits_for_budget(self, tmp_path):
-        """Engines leave together and the repeats spend the budget; it grows again soon."""
+        """Engines leave together and the retries spend the budget, which grows again soon."""
 
         async def run():
             script = [Events(last=2, pause=0.05, then="cut")]
@@ -187,8 +187,8 @@
 
         trio.run(run)
 
-    def test_ends_with_its_time(self, tmp_path):
-        """Nobody ever has room: the stream looks cut when its time is over, not later."""
+    def test_ends_at_its_deadline(self, tmp_path):
+        """No engine ever has room: the stream is truncated at its deadline, not later."""
 
         async def run():
             script = [Events(last=2, then="cut")]
@@ -201,11 +201,11 @@
 
         trio.run(run)
 
-    def test_engines_that_leave_are_no_attempts(self, tmp_path):
-        """Two engines are taken away one after the other in the middle of a stream.
+    def test_leaving_engines_do_not_count_as_attempts(self, tmp_path):
+        """Two engines are shut down one after the other in the middle of a stream.
 
-        What has said that it leaves and closes the connection has ended its work; counted as
-        attempts, the two used up all that the route allows, and the stream was cut.
+        An engine that announced that it leaves and closes the connection has stopped its work;
+        counted as attempts, the two used up what the route allows, and the stream was truncated.
         """
 
         async def run():
@@ -239,11 +239,11 @@
 class TestLateFirstToken:
     """A stream that has not begun, and for which no other engine has room."""
 
-    def test_waits_on(self, tmp_path):
+    def test_keeps_waiting(self, tmp_path):
         """The first token takes 1.8 s in a full fleet; after one second the VM gave up.
 
-        The caller was told that nobody knows what became of the request, and the engine's work
-        was thrown away.
+        The client was told that the fate of its request is unknown, and the engine's work was
+        discarded.
         """
 
         async def run():
@@ -255,10 +255,10 @@
 
         trio.run(run)
 
-    def test_second_thoughts_need_a_budget(self, tmp_path):
-        """A better engine is there, but the budget for repeats is spent.
+    def test_reconsidering_needs_a_retry_budget(self, tmp_path):
+        """A better engine is available, but the retry budget is spent.
 
-        A second thought ended the attempt all the same, and the request failed.
+        Reconsidering ended the attempt all the same, and the request failed.
         """
 
         async def run():
@@ -279,13 +279,13 @@
 
 
 class TestSlowCall:
-    """A call of a plain service that may be repeated, and takes long."""
+    """A call of a plain service that is idempotent and slow."""
 
     def test_no_other_server(self, tmp_path):
         """The only server answers after 1.4 s of 2.5.
 
-        A first try was given up after 45% of the time, in order to try another server; there was
-        none, and the caller got a failure in place of the answer.
+        The first attempt was abandoned after 45% of the time, in order to try another server; there
+        was none, and the client got a failure instead of the answer.
         """
 
         async def run():
@@ -313,7 +313,7 @@
         trio.run(run)
 
     def test_another_server_is_tried(self, tmp_path):
-        """With another server and some budget the first try is still given up in time."""
+        """With another server and a retry left, the first attempt is still abandoned in time."""
 
         async def run():
             async with (
