--- a/tests/platform/test_draining.py
+++ b/tests/platform/test_draining.py
@@ -1,4 +1,4 @@
-"""A VM that is about to stop: what it still takes, and what it does not."""
+"""A VM that is about to stop: which requests it still accepts."""
 
 import trio
 
@@ -10,7 +10,7 @@
 
 
 class TestDraining:
-    """A graceful shutdown cuts no request, because none is taken that cannot end in time."""
+    """A graceful shutdown cuts no request, because none is accepted that cannot end in time."""
 
     def test_early_requests_are_served(self, tmp_path):
         async def run():
@@ -22,11 +22,11 @@
 
         trio.run(run)
 
-    def test_late_streams_go_elsewhere(self, tmp_path):
-        """A VM is told to stop; six seconds later a kept connection brings a stream.
+    def test_late_streams_are_refused(self, tmp_path):
+        """Six seconds after a VM was told to stop, an open connection brings a stream.
 
-        It would be cut in its middle two seconds later.  It must be refused as "not run", so
-        that its client goes on at another VM.
+        It would be truncated two seconds later.  It must be refused as "not run", so that its
+        client retries on another VM.
         """
 
         async def run():
@@ -42,7 +42,7 @@
 
         trio.run(run)
 
-    def test_plain_requests_are_taken_for_longer(self, tmp_path):
+    def test_plain_requests_are_accepted_for_longer(self, tmp_path):
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]):
                 site.gateway.draining_since = now_ms() - STREAMS_MS - 1
@@ -52,7 +52,7 @@
 
         trio.run(run)
 
-    def test_waiting_connections_end(self, tmp_path):
+    def test_idle_connections_are_closed(self, tmp_path):
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]):
                 stream = await site.connect()
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers that say in their answers that they leave."""
+"""Backend servers whose answers say that they are leaving."""
 
 import pytest
 import trio
@@ -10,14 +10,14 @@
 
 
 class TestLeaving:
-    """A server that has said that it leaves gets nothing new from the VM that was told."""
+    """A server that answered that it is leaving gets nothing new from the VM it told."""
 
     @pytest.mark.parametrize(
         ("service", "path", "more", "sound"),
         [("plain", "/again/x", {}, Whole()), ("engines", "/stream/x", PROMPT, Events())],
     )
-    def test_no_announcement_comes(self, service, path, more, sound, tmp_path):
-        """A VM that hears no control VM sent on to a server whose answers said that it leaves."""
+    def test_without_announcement(self, service, path, more, sound, tmp_path):
+        """A VM without a control VM kept sending to a server that answered that it was leaving."""
 
         async def run():
             async with (
--- a/tests/platform/test_overload.py
+++ b/tests/platform/test_overload.py
@@ -1,4 +1,4 @@
-"""Tests of how long the last server is waited for when all are slow."""
+"""How long the last server is waited for when all are slow."""
 
 import trio
 
@@ -9,12 +9,12 @@
 
 
 class TestLastServer:
-    """A request that may go to two servers at most waits at the second one."""
+    """A request that is limited to two attempts waits for the second server."""
 
-    def test_the_last_one_is_waited_for(self, tmp_path):
+    def test_last_server_is_waited_for(self, tmp_path):
         """All engines are slow for a moment: each begins after 1.3 s instead of 0.1 s.
 
-        The first is given up in time to try the second.  Giving the second up as early would end
+        The first is abandoned in time to try the second.  Abandoning the second as early would end
         in a failure, although it was about to answer.
         """
 
