--- a/siskinspoke/gateway/attempts.py
+++ b/siskinspoke/gateway/attempts.py
@@ -18,7 +18,7 @@
 MOVED = "its engine reads for longer than the stream may pause"
 # Interval at which a silent attempt that cannot fail over is checked again: where all slots of an
 # engine are taken, one is freed every 0.2 s.
-ASK_AGAIN_SECONDS = 0.2
+RECHECK_SECONDS = 0.2
 
 
 class Attempt:
@@ -68,7 +68,7 @@
         """
         await trio.sleep(seconds)
         while not self.fail_over():
-            await trio.sleep(ASK_AGAIN_SECONDS)
+            await trio.sleep(RECHECK_SECONDS)
 
     def expect_answer_within(self, due_ms: float, now: float) -> None:
         """Set the time within which the servers should send something."""
--- a/siskinspoke/gateway/streams.py
+++ b/siskinspoke/gateway/streams.py
@@ -13,7 +13,7 @@
 from siskinspoke.coordination.second_tries import doubt_after_ms, move
 from siskinspoke.coordination.standing import Trouble
 from siskinspoke.core.codes import Failure, ResultCode
-from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, ASK_AGAIN_SECONDS, MOVED, Attempt
+from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, RECHECK_SECONDS, MOVED, Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.crashes import note_end, noted, quarantine_of
 from siskinspoke.gateway.onward import Failover, PlannedAttempt, RetryObstacle, RetryState
@@ -182,7 +182,7 @@
         if obstacle is not logged:
             gateway.log.note("place.wanting", request=request.call.id, why=obstacle.value)
         logged = obstacle
-        await trio.sleep(ASK_AGAIN_SECONDS * gateway.rng.uniform(0.5, 1.5))
+        await trio.sleep(RECHECK_SECONDS * gateway.rng.uniform(0.5, 1.5))
     return planned
 
 
@@ -373,7 +373,7 @@
             return ""
         if chosen.now and failover.fail_over():
             return ANSWER_TIMED_OUT
-        attempt.recheck_at = now + (ASK_AGAIN_SECONDS * 1000 if chosen.now else chosen.again_ms)
+        attempt.recheck_at = now + (RECHECK_SECONDS * 1000 if chosen.now else chosen.again_ms)
         return ""
 
     attempt.reconsider = reconsider
--- a/siskinspoke/gateway/upstream.py
+++ b/siskinspoke/gateway/upstream.py
@@ -6,7 +6,7 @@
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.standing import Trouble
-from siskinspoke.gateway.attempts import ASK_AGAIN_SECONDS, Attempt
+from siskinspoke.gateway.attempts import RECHECK_SECONDS, Attempt
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.reaching import connect_to
 from siskinspoke.gateway.restrictions import hear_answer
@@ -177,7 +177,7 @@
             return await connection.read_data()
         if attempt.end_reason or attempt.fail_over():
             raise AttemptAbandonedError
-        seconds = ASK_AGAIN_SECONDS
+        seconds = RECHECK_SECONDS
 
 
 def release_connection(gateway: Gateway, server: ServerRecord, started: AnswerStarted) -> None:
