--- a/siskinspoke/gateway/attempts.py
+++ b/siskinspoke/gateway/attempts.py
@@ -101,9 +101,9 @@
     def end_if_lost(self, server: str, incarnation: int) -> None:
         """End the attempt if it depends on an unreachable server and can continue elsewhere.
 
-        After a partition heals, the server's answer could still arrive.  An attempt that is not
-        sent yet learns of the loss from its own connection: ended here it would count as an attempt
-        and use up a retry.
+        Otherwise it is kept: the server's answer may still arrive once a partition heals.  An
+        attempt that is not sent yet learns of the loss from its own connection: ended here it would
+        count as an attempt and use up a retry.
         """
         known = self._servers.get(server)
         if not self.sent:
--- a/siskinspoke/gateway/plain.py
+++ b/siskinspoke/gateway/plain.py
@@ -215,7 +215,7 @@
 
 
 def no_server_failure(gateway: Gateway, request: Request, message: str) -> Failure:
-    """Return the refusal of a request that no server can take, with the time of a retry."""
+    """Return the refusal of a request that no server can take, with the time to retry."""
     wait_ms = opens_in_ms(gateway, request.service)
     if wait_ms is None:
         return Failure(ResultCode.NO_SERVER, message, retry_after(gateway))
--- a/siskinspoke/gateway/reservations.py
+++ b/siskinspoke/gateway/reservations.py
@@ -55,25 +55,27 @@
     tokens: int
 
 
-async def _order(gateway: Gateway, held: Held, release: bool) -> int | None:
+async def _order(gateway: Gateway, reservation: Held, release: bool) -> int | None:
     """Send one order; return the status of its answer, or None where there is none."""
     wire = gateway.wire
-    server = held.server.announcement
+    server = reservation.server.announcement
     if release:
-        head, body = wire.release_order(server.server, held.name)
+        head, body = wire.release_order(server.server, reservation.name)
     else:
-        head, body = wire.reserve_order(server.server, held.name, held.tokens, LEASE_MS)
+        head, body = wire.reserve_order(
+            server.server, reservation.name, reservation.tokens, LEASE_MS
+        )
     gateway.counters.count("reservation.released" if release else "reservation.ordered")
-    reply = await ask(gateway, held.server, head, body, ORDER_SECONDS, MAX_IDLE_MS)
+    reply = await ask(gateway, reservation.server, head, body, ORDER_SECONDS, MAX_IDLE_MS)
     return None if reply is None else reply.status
 
 
-def _has_restarted(gateway: Gateway, held: Held) -> bool:
+def _has_restarted(gateway: Gateway, reservation: Held) -> bool:
     """Tell whether the engine has restarted since, and holds nothing from before.
 
     A renewal that reached the new process would reserve memory there that nobody uses.
     """
-    return gateway.directory.superseded(*held.server.start)
+    return gateway.directory.superseded(*reservation.server.start)
 
 
 @asynccontextmanager
@@ -81,35 +83,35 @@
     """Reserve a group's memory while the context is open; yield ReservationRefused on failure."""
     wanted = sorted(
         (Held(item.server, name, item.tokens) for item in members if item.tokens),
-        key=lambda held: held.server.announcement.server,
+        key=lambda reservation: reservation.server.announcement.server,
     )
     asked: list[Held] = []
     unconfirmed: set[str] = set()
     scope = trio.CancelScope()
     try:
-        for held in wanted:
-            asked.append(held)
-            status = await _order(gateway, held, release=False)
+        for reservation in wanted:
+            asked.append(reservation)
+            status = await _order(gateway, reservation, release=False)
             if status is None:
-                unconfirmed.add(held.server.announcement.server)
+                unconfirmed.add(reservation.server.announcement.server)
             if status != GRANTED:
                 gateway.counters.count("reservation.refused")
                 gateway.log.note(
                     "reservation.refused",
                     reservation=name,
-                    server=held.server.announcement.server,
-                    tokens=held.tokens,
+                    server=reservation.server.announcement.server,
+                    tokens=reservation.tokens,
                     status=status,
                 )
-                yield ReservationRefused(held.server.announcement.server, status is not None)
+                yield ReservationRefused(reservation.server.announcement.server, status is not None)
                 return
         gateway.chores.start_soon(_renew_forever, gateway, wanted, unconfirmed, scope)
         yield tuple(wanted)
     finally:
         scope.cancel()
-        for held in asked:
-            is_unconfirmed = held.server.announcement.server in unconfirmed
-            gateway.chores.start_soon(_release, gateway, held, is_unconfirmed)
+        for reservation in asked:
+            is_unconfirmed = reservation.server.announcement.server in unconfirmed
+            gateway.chores.start_soon(_release, gateway, reservation, is_unconfirmed)
 
 
 async def _renew_forever(
@@ -117,25 +119,25 @@
 ) -> None:
     """Renew the leases of a group; record the members that did not answer."""
 
-    async def renew(held: Held) -> None:
-        if _has_restarted(gateway, held):
+    async def renew(reservation: Held) -> None:
+        if _has_restarted(gateway, reservation):
             return
-        if await _order(gateway, held, release=False) is None:
-            unconfirmed.add(held.server.announcement.server)
+        if await _order(gateway, reservation, release=False) is None:
+            unconfirmed.add(reservation.server.announcement.server)
 
     with scope:
         while True:
             await trio.sleep(RENEW_SECONDS)
             async with trio.open_nursery() as nursery:
-                for held in group:
-                    nursery.start_soon(renew, held)
+                for reservation in group:
+                    nursery.start_soon(renew, reservation)
 
 
-async def _release(gateway: Gateway, held: Held, unsure: bool) -> None:
+async def _release(gateway: Gateway, reservation: Held, unsure: bool) -> None:
     """Release memory, repeatedly where an earlier order may still be carried out."""
     last = trio.current_time() + LATE_EXECUTION_SECONDS
-    while not _has_restarted(gateway, held):
-        status = await _order(gateway, held, release=True)
+    while not _has_restarted(gateway, reservation):
+        status = await _order(gateway, reservation, release=True)
         unsure = unsure or status is None
         if not unsure or trio.current_time() > last:
             return
--- a/siskinspoke/gateway/sending.py
+++ b/siskinspoke/gateway/sending.py
@@ -85,8 +85,8 @@
     if limit is None or has_permit:
         return None
     patience_ms, attempt.permit_wait_ms = attempt.permit_wait_ms, 0.0
-    permit, hold = await gateway.permits.obtain(gateway.questions, server, limit, patience_ms)
-    _log_permit(gateway, request_id, server, limit, hold, now)
+    permit, found = await gateway.permits.obtain(gateway.questions, server, limit, patience_ms)
+    _log_permit(gateway, request_id, server, limit, found, now)
     if isinstance(permit, Denied):
         gateway.counters.count("permit.refused")
         return Hold(RATE_LIMIT, permit.until)
--- a/siskinspoke/gateway/streams.py
+++ b/siskinspoke/gateway/streams.py
@@ -388,7 +388,7 @@
     retry_state: RetryState,
     failover: Failover,
 ) -> Reconsider | None:
-    """Return the check that moves a stream off its engine before that prefills a long prompt."""
+    """Return the check that moves a stream off an engine about to prefill a long prompt."""
     if assignment.job is None or request.crashes:
         return None
 
@@ -433,8 +433,8 @@
         return
     name = f"{gateway.settings.host}-{work}-{gateway.rng.getrandbits(32):x}"
     pairs = zip(assignment.helpers, assignment.held_tokens, strict=True)
-    async with reserved(gateway, name, [Member(*pair) for pair in pairs]) as held:
-        yield held if isinstance(held, ReservationRefused) else name
+    async with reserved(gateway, name, [Member(*pair) for pair in pairs]) as result:
+        yield result if isinstance(result, ReservationRefused) else name
 
 
 def _dispatch(request: Request, assignment: Assignment, relay: Relay, reservation: str) -> Dispatch:
@@ -461,7 +461,7 @@
     outcome: StreamCompleted | WholeAnswer | NotRun | Broke,
     began_at: float,
 ) -> None:
-    """Update server health from the outcome of an attempt that began at ``began``."""
+    """Update server health from the outcome of an attempt that began at ``began_at``."""
     now = now_ms()
     if isinstance(outcome, StreamCompleted | WholeAnswer):
         gateway.crashes.answered(assignment.server.start, began_at, now)
--- a/siskinspoke/gateway/upstream.py
+++ b/siskinspoke/gateway/upstream.py
@@ -44,9 +44,9 @@
     closed: bool = False
 
 
-def not_run_on_hold(held: Hold) -> NotRun:
+def not_run_on_hold(hold: Hold) -> NotRun:
     """Return the outcome of an attempt that a server's hold prevented."""
-    return NotRun(Trouble.HELD, held.why, arrived=False)
+    return NotRun(Trouble.HELD, hold.why, arrived=False)
 
 
 def connection_failure(error: PeerError) -> Broke:
