--- a/siskinspoke/gateway/__init__.py
+++ b/siskinspoke/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The transparent path of an entry VM: callers' own requests, passed on to backend servers."""
+"""Transparent proxying on an entry VM: forwards client requests to backend servers."""
--- a/siskinspoke/gateway/cells.py
+++ b/siskinspoke/gateway/cells.py
@@ -1,4 +1,4 @@
-"""This VM's cell: the entry VMs that it shares books with, and the servers in those books."""
+"""The cell of this VM: the entry VMs with which it shares engine load state, and their servers."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,10 +11,10 @@
 
 
 class CellView:
-    """Work the cells out anew when VMs or servers have come or gone.
+    """Recompute the cells when VMs or servers have been added or removed.
 
-    ``peers`` returns the other entry VMs that are known, ``changes`` how often one has come to be
-    known or was forgotten, which is cheaper to compare.
+    ``peers`` returns the other known entry VMs. ``changes`` returns how many times that set has
+    changed, which is cheaper to compare than the set itself.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         return self._cells
 
     def _note_change(self, before: tuple[Cell | None, int], vms: int) -> None:
-        """Log a change of this VM's cell: what it knows of engines' work begins anew with it."""
+        """Log a change of this VM's cell; its knowledge of engine load starts over with it."""
         cell, cells = self._cells.of(self._me.host), len(self._cells.all)
         if (cell, cells) != before:
             neighbours = len(self._cells.hosts(cell)) - 1
@@ -62,37 +62,37 @@
 
     @property
     def mine(self) -> Cell:
-        """Return the name of this VM's cell."""
+        """Return the ID of this VM's cell."""
         return self._current().of(self._me.host)
 
     @property
     def others(self) -> list[Cell]:
-        """Return the names of the other cells, those of this failure domain first."""
+        """Return the IDs of the other cells, those in this failure domain first."""
         mine = self.mine
         found = [cell for cell in self._current().all if cell != mine]
         return sorted(found, key=lambda cell: (cell.domain != mine.domain, cell))
 
     def addresses(self, cell: Cell) -> list[Address]:
-        """Return where the VMs of a cell hear each other, this one left out."""
+        """Return the peer addresses of the VMs in a cell, excluding this VM."""
         hosts = self._current().hosts(cell)
         return [(host, self._ports[host]) for host in hosts if host != self._me.host]
 
     def is_neighbour(self, host: str) -> bool:
-        """Tell whether another VM shares this one's cell."""
+        """Return whether another VM is in this VM's cell."""
         cells = self._current()
         return cells.of(host) == cells.of(self._me.host)
 
     def servers(self, service: str) -> set[str]:
-        """Return the servers of a service in this VM's books."""
+        """Return the servers of a service that belong to this VM's cell."""
         return self._current().servers(self.mine, service)
 
     def watching(self, servers: Iterable[str]) -> set[Cell]:
-        """Return the cells that keep books of any of these servers."""
+        """Return the cells that track the load of any of these servers."""
         return self._current().watching(servers)
 
 
 def _servers(directory: Directory) -> list[Server]:
-    """Return the servers that have not left: one that is silent for a while keeps its place."""
+    """Return the servers that have not left; a temporarily unresponsive server keeps its cell."""
     said = [record.announcement for record in directory.all_known()]
     return [
         Server(item.server, item.service, item.failure_domain) for item in said if not item.leaving
--- a/siskinspoke/gateway/context.py
+++ b/siskinspoke/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the tasks of a gateway share, and the facts of one request on its way."""
+"""State shared by the tasks of a gateway, and the state of one request in progress."""
 
 import math
 import random
@@ -34,20 +34,21 @@
 from siskinspoke.gateway.questions import Questions
 from siskinspoke.gateway.wire import Call, Wire
 
-# How long after it was told to stop a VM still takes requests.  The balancer sends no more after
-# 3 s, and what has come by then may be cut; plain requests end within 1.5 s.  Milliseconds.
+# How long after the stop signal a VM still accepts requests. The load balancer stops sending new
+# ones after 3 s, and requests that arrived by then may be cut off. Plain requests finish within
+# 1.5 s.
 STREAMS_MS = 2_900.0
 PLAIN_MS = 5_500.0
 
 
 def now_ms() -> float:
-    """Return the clock of this VM's decisions, in milliseconds."""
+    """Return this VM's monotonic clock, in milliseconds."""
     return trio.current_time() * 1000
 
 
 @dataclass
 class Gateway:
-    """The parts of a gateway; each owns its own state."""
+    """The components of a gateway, each of which owns its own state."""
 
     settings: VmSettings
     wire: Wire
@@ -84,18 +85,18 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether this VM is about to stop."""
+        """Return whether this VM is shutting down."""
         return self.draining_since is not None
 
     @property
     def refusing(self) -> bool:
-        """Tell whether no stream is taken any more."""
+        """Return whether this VM no longer accepts streams."""
         return not self.time_for(CallKind.STREAM)
 
     def time_for(self, kind: CallKind) -> bool:
-        """Tell whether a request of a kind that comes now can end before this VM stops.
+        """Return whether a request of this kind that arrives now can finish before shutdown.
 
-        One that was taken too late would be cut in the middle of its answer.
+        A request accepted too late would be cut off in the middle of its response.
         """
         if self.draining_since is None:
             return True
@@ -103,23 +104,23 @@
         return since < (STREAMS_MS if kind is CallKind.STREAM else PLAIN_MS)
 
     def stop_waiting(self) -> None:
-        """End connections that wait for a request: their clients go on at another VM."""
+        """Close idle client connections so that their clients reconnect to another VM."""
         for scope in list(self.idle):
             scope.cancel()
 
     @property
     def limits(self) -> ClientLimits:
-        """Return the limits in force for clients."""
+        """Return the client limits currently in effect."""
         return self.table.limits if self.table is not None else ClientLimits()
 
     @property
     def books(self) -> Books:
-        """Return the books of the fleet's engines."""
+        """Return the load state of the engines."""
         return self.placement.books
 
 
 class Tried(NamedTuple):
-    """One attempt of a request, for its log line."""
+    """One attempt of a request, as it appears in the request's log line."""
 
     server: str
     outcome: str
@@ -128,7 +129,7 @@
 
 @dataclass
 class Request:
-    """One request on its way: what it wants, what it was given, and what became of it."""
+    """One request in progress: its parameters, its placement and its outcome."""
 
     call: Call
     route: Route
@@ -137,7 +138,7 @@
     version: int
     service: str = ""
     tried: list[Tried] = field(default_factory=list)
-    # Servers that were chosen, and asked not to get it before it was sent.
+    # Chosen servers that became unavailable (back-off, rate limit or leaving) before the send.
     held: list[str] = field(default_factory=list)
     first_ms: float | None = None
     expected_ms: float | None = None
@@ -148,34 +149,34 @@
     widened: bool = False
     events: int = 0
     longest_pause_ms: float = 0.0
-    # How many servers have crashed with this request open, and nothing has cleared it since.
+    # Servers that crashed with this request open, as long as it has not been cleared since.
     crashes: int = 0
     status: int = 0
     end: str = ""
 
     @property
     def deadline_ms(self) -> float:
-        """Return how long after its arrival the answer must have ended."""
+        """Return the time after arrival by which the response must be complete."""
         asked = self.call.deadline_ms
         return self.route.timeout_ms if asked is None else min(asked, self.route.timeout_ms)
 
     def left_ms(self, now: float) -> float:
-        """Return how long the answer may still take."""
+        """Return the time left until the deadline."""
         return self.deadline_ms - (now - self.arrived_ms)
 
     def note(self, server: str, outcome: str, now: float) -> None:
-        """Remember how an attempt ended."""
+        """Record the outcome of an attempt."""
         self.tried.append(Tried(server, outcome, round(now - self.arrived_ms, 1)))
 
     @cached_property
     def subject(self) -> Subject:
-        """Return what tells whether another request is the same."""
+        """Return the identity by which repeats of this request are recognized."""
         customer = self.customer.name if self.customer is not None else ""
         return Subject(customer, f"{self.call.host}{self.call.target}", self.call.body)
 
     @property
     def rank(self) -> int:
-        """Return the rank of the request; 0 goes first."""
+        """Return the priority of the request; 0 is the highest."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
--- a/siskinspoke/gateway/crashes.py
+++ b/siskinspoke/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Find out that a server crashed, and keep a request that crashes servers from the next one."""
+"""Detect server crashes, and quarantine requests that crash the servers they run on."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -18,13 +18,13 @@
 from siskinspoke.gateway.reaching import NoConnection, look_at
 from siskinspoke.gateway.upstream import Broke
 
-# A server from which an attempt was taken away may crash under it all the same; it is looked at
-# after this time.
+# A server may still crash from an attempt that was moved away from it, so it is probed after this
+# delay.
 LOOK_LATER_SECONDS = 0.4
 
 
 class Attempted:
-    """One attempt, for who asks later which requests were open at a server."""
+    """One attempt, recorded so that a later crash can be attributed to the requests then open."""
 
     def __init__(self, run: Run):
         self.run = run
@@ -33,7 +33,7 @@
 
 @contextmanager
 def noted(gateway: Gateway, request: Request, *servers: ServerRecord) -> Iterator[Attempted]:
-    """Note an attempt at some servers while the context is open; its ``end`` is to be set."""
+    """Record an attempt at some servers while the context is open; the caller sets its ``end``."""
     starts = [server.start for server in servers]
     attempted = Attempted(gateway.crashes.began(request.subject, starts, now_ms()))
     try:
@@ -43,10 +43,10 @@
 
 
 async def quarantine_of(gateway: Gateway, request: Request) -> Quarantined | None:
-    """Return the quarantine of a request, or None where it may be sent to a server now.
+    """Return the quarantine of a request, or None if it may be sent to a server now.
 
-    While enough speaks against it but what clears it may be on its way, it waits.  Otherwise each
-    VM that holds a copy would send it on once more.
+    If the evidence suffices for a quarantine but information that clears the request may still
+    arrive, this waits. Otherwise each VM that holds a copy would send the request once more.
     """
     while True:
         now = now_ms()
@@ -71,11 +71,11 @@
 
 
 async def note_end(gateway: Gateway, server: ServerRecord, outcome: Broke) -> None:
-    """Find out whether a server that broke off an attempt has crashed.
+    """Determine whether a server that broke off an attempt has crashed.
 
-    A dead process refuses connections.  One that has ended the connection alone accepts another
-    one, and one that is cut off says nothing or refuses together with its whole failure domain, so
-    neither is taken for a crash.
+    A dead process refuses connections. A server that only closed this connection accepts a new
+    one, and a partitioned server either does not respond or refuses along with its whole failure
+    domain. Neither of these counts as a crash.
     """
     if not (outcome.closed or outcome.gone):
         if not gateway.crashes.ledger.is_empty:
@@ -83,14 +83,14 @@
         return
     looked = gateway.crash_looks.get(server.start)
     if looked is None:
-        # Whoever waits for this may leave at any moment; the others need to know all the same.
+        # Runs in the background: a waiter may be cancelled while others still need the result.
         looked = gateway.crash_looks[server.start] = trio.Event()
         gateway.chores.start_soon(_look_once, gateway, server, now_ms())
     await looked.wait()
 
 
 async def _look_once(gateway: Gateway, server: ServerRecord, at: float) -> None:
-    """Look for a crash on behalf of all attempts that broke off at one server together."""
+    """Check for a crash once for all attempts that broke off at the same server."""
     try:
         await _look_for_crash(gateway, server, at)
     finally:
@@ -103,7 +103,7 @@
 
 
 async def _look_for_crash(gateway: Gateway, server: ServerRecord, at: float) -> None:
-    """Take in a crash; where the question stays open it is asked again, and nobody waits for it."""
+    """Check for a crash; if the result is inconclusive, retry in the background."""
     if not await _settle(gateway, server, at):
         gateway.chores.start_soon(_ask_again, gateway, server, at)
 
@@ -116,10 +116,11 @@
 
 
 async def _settle(gateway: Gateway, server: ServerRecord, at: float) -> bool:
-    """Find out whether a server has crashed, and take it in; return whether that is known now.
+    """Determine whether a server has crashed and record it; return whether that is conclusive.
 
-    It has not if it has left in good order or can be reached.  Nobody can tell where its whole
-    failure domain refuses, or where nothing is heard: this VM itself may have stood still.
+    The server has not crashed if it left cleanly or can be reached. The result is inconclusive if
+    its whole failure domain refuses connections, or if the probe times out, since this VM itself
+    may have been paused.
     """
     said = server.announcement
     if gateway.directory.has_left(said.server) or gateway.crashes.has_crashed(server.start):
@@ -140,7 +141,7 @@
 
 
 async def _domain_refuses(gateway: Gateway, server: ServerRecord) -> bool:
-    """Tell whether other servers of the failure domain cannot be reached either."""
+    """Return whether other servers of the failure domain are unreachable as well."""
     said, live = server.announcement, gateway.directory.live(now_ms())
     has_crashed = gateway.crashes.has_crashed
     asked = witnesses_of(said.server, said.failure_domain, live, has_crashed, gateway.rng)
@@ -156,7 +157,7 @@
 
 
 def _note_refusing_domain(gateway: Gateway, server: ServerRecord) -> None:
-    """Keep new requests from a domain that refuses as a whole, until it can be reached."""
+    """Stop sending requests to a domain that refuses as a whole, until it is reachable again."""
     said, now = server.announcement, now_ms()
     gateway.counters.count("crash.doubted")
     gateway.log.note(
--- a/siskinspoke/gateway/daemon.py
+++ b/siskinspoke/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Compose a gateway and run it until it has drained."""
+"""Build a gateway and run it until it has drained."""
 
 import random
 import signal
@@ -45,19 +45,20 @@
 from siskinspoke.transport.datagrams import open_datagram_port
 from siskinspoke.transport.pages import Page, Pages, metrics_pages, serve_pages
 
-# Announcements come every 1.2 s; four of them may be lost.
+# Announcements arrive every 1.2 s; a server's lease tolerates the loss of four.
 LEASES_PER_ANNOUNCEMENT = 4
 CHORES_SECONDS = 1.0
 RELOAD_SECONDS = 1.0
-# The balancer asks once a second and needs two misses; then nobody new comes.
+# The load balancer checks readiness once a second and removes a VM after two failed checks; after
+# this time no new clients arrive.
 BALANCER_SECONDS = 3.0
-# Left of the time to stop in, for what is cut then to be sent.
+# Reserved at the end of the shutdown time, to send the responses that are cut off then.
 LAST_SECONDS = 0.4
 LOOK_SECONDS = 0.05
 
 
 class GatewayDaemon:
-    """Wire a gateway together; each part owns its sockets and state."""
+    """Connect the components of a gateway; each owns its sockets and state."""
 
     def __init__(self, read_settings: Callable[[], VmSettings], wire: Wire, log: DecisionLog):
         self._log = log
@@ -150,7 +151,7 @@
         )
 
     def _has_quorum(self) -> bool:
-        """Tell whether this VM hears most control VMs, or most entry VMs of its cell."""
+        """Return whether this VM hears a majority of the control VMs or of its cell's entry VMs."""
         feeds, cells = self._feeds, self.gateway.cells
         if 2 * feeds.connected > len(feeds.controls):
             return True
@@ -158,9 +159,9 @@
         return 2 * (1 + self.gateway.peers.heard(now_ms())) > vms
 
     def _on_publication(self, version: int, document: dict) -> None:
-        """Put a newer configuration in force; the version never goes back.
+        """Apply a newer configuration; the version never decreases.
 
-        A control VM that lags, or is cut off, offers older ones; they would undo a change.
+        A control VM that lags or is partitioned offers older versions, which would undo a change.
         """
         gateway = self.gateway
         if gateway.table is not None and version <= gateway.table.version:
@@ -196,7 +197,7 @@
         self.gateway.crashes.hear(news, now_ms())
 
     def _tell_crashes(self, news: CrashNews) -> None:
-        """Tell the VMs of this cell at once, and all others by way of the control VMs."""
+        """Send crash updates to this cell's VMs directly, and to all others via control VMs."""
         self.gateway.peers.crashes(news)
         self._feeds.tell_crashes(news)
 
@@ -207,14 +208,14 @@
 
     @property
     def _ready(self) -> bool:
-        """Tell whether new clients may come: this VM can serve, and is not about to stop."""
+        """Return whether new clients may connect: this VM is configured and not draining."""
         return self.gateway.table is not None and not self.gateway.draining
 
     def _ready_pages(self) -> Pages:
         return {"/readyz": lambda: Page(200 if self._ready else 503)}
 
     async def run(self, metrics_port: int) -> None:
-        """Serve until SIGTERM, then let open requests end."""
+        """Serve until SIGTERM or SIGINT, then let open requests finish."""
         gateway, settings = self.gateway, self._watch.settings
         gateway.started_at = trio.current_time()
         async with AsyncExitStack() as stack:
@@ -250,7 +251,7 @@
             nursery.cancel_scope.cancel()
 
     async def _drain(self) -> None:
-        """Refuse to be ready, serve what still comes, and end once nothing is open."""
+        """Report not ready, serve requests that still arrive, and return once none are open."""
         gateway = self.gateway
         gateway.draining_since = now_ms()
         self._log.note("drain", open=gateway.open_requests)
@@ -265,7 +266,7 @@
         self._log.note("stop", open=gateway.open_requests, took=round(took * 1000))
 
     async def _chores_forever(self) -> None:
-        """Forget what is past, and share the common budget among the VMs that are known."""
+        """Expire old state, and divide the common retry budget among the known VMs."""
         gateway = self.gateway
         while True:
             await trio.sleep(CHORES_SECONDS)
@@ -289,7 +290,7 @@
             gateway.counters.gauge("log.dropped", self._log.dropped)
 
     async def _reload_forever(self) -> None:
-        """Read the settings again, on SIGHUP and now and then: they also change silently."""
+        """Reload the settings on SIGHUP and periodically, as they may change without a signal."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
                 with trio.move_on_after(RELOAD_SECONDS):
--- a/siskinspoke/gateway/lives.py
+++ b/siskinspoke/gateway/lives.py
@@ -1,8 +1,8 @@
-"""What a backend server's new start under its old name means to this VM.
+"""Handling of announcements, including those of backend servers that restarted under their name.
 
-The new process holds and knows nothing of before.  Requests that are open at the former one
-will not be answered, its failures and its pace say nothing of the new one, and what the books
-hold there is gone.
+The new process has none of the state of the old one. Requests still open at the old process will
+not be answered, its recorded failures and pace do not apply to the new process, and the work
+recorded for it is gone.
 """
 
 from siskinspoke.coordination.directory import Heard, start_of
@@ -11,7 +11,7 @@
 
 
 def hear(gateway: Gateway, announcement: Announcement) -> Heard:
-    """Take in an announcement, and what it means if the server has started anew."""
+    """Process an announcement, and reset the server's state here if it has restarted."""
     known = gateway.directory.latest(announcement.server)
     heard = gateway.directory.hear(announcement, now_ms())
     if known is None or known.announcement.incarnation >= announcement.incarnation:
--- a/siskinspoke/gateway/peers.py
+++ b/siskinspoke/gateway/peers.py
@@ -1,7 +1,7 @@
-"""Tell the other entry VMs of a cell what this one begins and ends at engines, and hear it of them.
+"""Exchange updates on engine work with the other entry VMs of a cell.
 
-Work at engines of another cell is told to that cell, whose books hold them.  Everything else
-concerns this VM's own cell alone.
+Work at engines of another cell is reported to that cell, which tracks their load. All other
+updates go to this VM's own cell only.
 """
 
 import random
@@ -31,26 +31,25 @@
 )
 from siskinspoke.transport.datagrams import DatagramPort
 
-# A change of pace by less than this moves no choice.
+# Smaller changes of an engine's pace do not affect placement.
 PACE_NEWS = 0.1
-# Work that begins is told at once, since others choose by it; the rest waits this long, so that
-# several news leave in one datagram.
+# New work is sent at once, since other VMs place requests by it. Other updates wait this long so
+# that several share one datagram.
 TELL_SECONDS = 0.2
-# News of one kind that wait; more cannot come in that time.
+# Limit on the pending updates of one kind; more cannot accumulate before the next send.
 MOST_NEWS = 512
-# A VM with open work shows that it lives this often where it has no news: in a large fleet each
-# has less than one request a second, and its work would be struck while streams are written.
+# Keep-alive interval of a VM that has open work but no updates. In a large fleet each VM gets less
+# than one request a second, so its work would otherwise expire while its streams are running.
 ALIVE_MS = 800.0
-# One that has said nothing for this long is dead, or cut off together with its callers' streams;
-# its work would fill the books until it is forgotten, and the engines that it names would look
-# taken.
+# A VM not heard from for this long is dead, or partitioned together with its clients' streams. Its
+# work is dropped, since the engines involved would otherwise appear busy.
 SILENT_MS = 2_500.0
-# A VM that has had no request for this long, or cannot be heard, has no part in the budget.
+# A VM with no requests for this long, or that cannot be heard, gets no share of the retry budget.
 HEARD_MS = 5_000.0
 
 
 class Peers:
-    """Own the datagram port between entry VMs."""
+    """Send and receive the datagrams between entry VMs."""
 
     def __init__(
         self,
@@ -86,18 +85,18 @@
         self._crash_news: list[CrashNews] = []
         self._rate_limits: dict[tuple[str, int], tuple[float | None, float]] = {}
         self._next = 0
-        # Tells this start of the process from earlier ones on the same VM.
+        # Distinguishes this process from earlier ones on the same VM.
         self._start = f"{random.getrandbits(32):x}"
         self._heard: dict[str, tuple[str, float]] = {}
         self._news: dict[Cell, WorkNews] = {}
-        # Who keeps the books of this VM's open work, by its number.
+        # The cells that track each open work item of this VM, by work number.
         self._watching: dict[int, set[Cell]] = {}
         self._told_at: dict[Cell, float] = {}
         self._some_news = trio.Event()
         self._urgent = trio.Event()
 
     def began(self, work: Work) -> int:
-        """Enter work into the books, here and at the peers, and return its number."""
+        """Record work in the load state of this VM and of its peers, and return its number."""
         self._next += 1
         number, job = self._next, work.job
         self._books.begin(self._name(number), work)
@@ -119,43 +118,43 @@
         return number
 
     def wrote(self, number: int) -> None:
-        """Note the first token of work."""
+        """Record that the first token of some work was written."""
         self._books.wrote(self._name(number))
         for cell in self._watching[number]:
             self._tell(self._news_for(cell).wrote, number)
 
     def ended(self, number: int) -> None:
-        """Strike work from the books."""
+        """Remove finished work from the load state."""
         self._books.end(self._name(number))
         for cell in self._watching.pop(number):
             self._tell(self._news_for(cell).ended, number)
 
     def cut(self, domain: str) -> None:
-        """Tell the others that a failure domain has come to be out of reach."""
+        """Tell the other VMs that a failure domain has become unreachable."""
         self._tell(self._own_news().cuts, domain)
         self._urgent.set()
 
     def lost(self, server: str) -> None:
-        """Tell the others that a server cannot be reached from here."""
+        """Tell the other VMs that a server is unreachable from this VM."""
         self._tell(self._own_news().lost, server)
         self._urgent.set()
 
     def crashes(self, news: CrashNews) -> None:
-        """Tell the others of this cell what this VM has learned of crashes.
+        """Send the crash information of this VM to the other VMs of its cell.
 
-        They also hear it from control VMs, but those may be behind a cut.
+        They also receive it from control VMs, but a partition may separate them from those.
         """
         self._tell(self._crash_news, news)
         self._urgent.set()
 
     def rate_limit(self, start: tuple[str, int], rate: float | None, now: float) -> None:
-        """Tell this cell, and those that keep the server's books, what it takes from all VMs."""
+        """Send a server's overall rate limit to this cell and to those that track the server."""
         self._rate_limits[start] = rate, now
         self._some_news.set()
         self._urgent.set()
 
     def paced(self, server: str, pace: float) -> None:
-        """Note how slow an engine says that it is, and tell the peers where that is news."""
+        """Record the pace reported by an engine, and send it to the peers if it has changed."""
         changed = abs(self._books.engine(server).pace - pace) > PACE_NEWS
         self._books.engine(server).pace = pace
         if changed:
@@ -217,26 +216,26 @@
             await port.send_to_all(item, self._cells.addresses(cell))
 
     def _silent_to(self, now: float) -> set[Cell]:
-        """Return the cells that hold open work of this VM and have not heard of it lately."""
+        """Return the cells that track open work of this VM and are due for a keep-alive."""
         open_at = {cell for cells in self._watching.values() for cell in cells}
         for cell in self._told_at.keys() - open_at:
             del self._told_at[cell]
         return {cell for cell in open_at if now - self._told_at.get(cell, 0.0) > ALIVE_MS}
 
     def heard(self, now: float) -> int:
-        """Return how many VMs of the cell have spoken lately; ``now`` is in milliseconds."""
+        """Return how many VMs of the cell were heard from recently; ``now`` is in milliseconds."""
         return sum(
             now - at < HEARD_MS and self._cells.is_neighbour(host)
             for host, (_, at) in self._heard.items()
         )
 
     def heard_within(self, host: str, ms: float, now: float) -> bool:
-        """Tell whether a VM has spoken within a time; ``now`` is in milliseconds."""
+        """Return whether a VM was heard from within ``ms``; ``now`` is in milliseconds."""
         known = self._heard.get(host)
         return known is not None and now - known[1] < ms
 
     def forget_silent(self, now: float) -> None:
-        """Strike the work of VMs that have fallen silent; ``now`` is in milliseconds."""
+        """Drop the work of VMs no longer heard from; ``now`` is in milliseconds."""
         for host, (start, at) in list(self._heard.items()):
             if now - at > SILENT_MS and self._books.end_all(_work_name(host, start, "")):
                 self._counters.count("peers.silent")
@@ -244,7 +243,7 @@
                 del self._heard[host]
 
     def _note_speaker(self, host: str, start: str, domain: str) -> None:
-        """Remember who spoke; a VM that was started anew has none of its earlier work."""
+        """Record the sender; if its process has restarted, drop the work of the old one."""
         known = self._heard.get(host)
         if known is not None and known[0] != start:
             self._books.end_all(_work_name(host, known[0], ""))
@@ -294,5 +293,5 @@
 
 
 def _work_name(host: str, start: str, number: int | str) -> str:
-    """Return the name of work in the books."""
+    """Return the key of work in the load state."""
     return f"{host}/{start}/{number}"
--- a/siskinspoke/gateway/permits.py
+++ b/siskinspoke/gateway/permits.py
@@ -1,4 +1,4 @@
-"""Obtain leave to send requests to backend servers that have named a rate limit."""
+"""Obtain permits for requests to backend servers that have announced a rate limit."""
 
 import math
 from collections.abc import Callable
@@ -22,16 +22,16 @@
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PermitReply, PermitRequest
 
-# A limiter that did not answer is passed over for this long.
+# A limiter that did not answer is skipped for this long.
 SILENT_MS = 1_000.0
-# Two answers that did not come are one silence if no more than this lies between them.
+# Two missing answers count as one outage of the limiter if they are no further apart than this.
 ONE_SILENCE_MS = 5_000.0
-# When to ask again where no limiter has answered.
+# Delay before asking again when no limiter has answered.
 NOBODY_MS = 500.0
 
 
 class Permit(NamedTuple):
-    """Leave to send one request to one start of a server, until a time in milliseconds."""
+    """Permission to send one request to a server process, until a time in milliseconds."""
 
     start: tuple[str, int]
     until: float
@@ -44,18 +44,18 @@
 
 
 class Found(NamedTuple):
-    """What a limiter decided, and which one; no host where none has answered."""
+    """The verdict of a limiter and its host; the host is empty if no limiter has decided."""
 
     verdict: Verdict
     host: str = ""
 
 
 class Permits:
-    """Ask limiters for permits, and be the limiter of some servers.
+    """Request permits from limiters, and act as the limiter of some servers.
 
-    ``peers`` returns the other entry VMs that are known and ``changes`` how often they have
-    changed; ``has_quorum`` tells whether this VM reaches most of the fleet, ``heard_within``
-    whether another VM has spoken within some milliseconds.
+    ``peers`` returns the other known entry VMs and ``changes`` how many times they have changed.
+    ``has_quorum`` returns whether this VM reaches a majority of the fleet, ``heard_within``
+    whether another VM was heard from within a number of milliseconds.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         return self._limiter
 
     def tick(self, servers: list[str]) -> None:
-        """Note that the process runs, and forget the servers that are not among these."""
+        """Record that this process is running, and discard the state of servers not listed."""
         limiter = self._my_limiter()
         limiter.tick(_now_ms())
         limiter.forget(servers)
@@ -122,14 +122,14 @@
         if any(self._heard_within(host, TAKE_OVER_MS) for host in before):
             ask = ask._replace(silent_ms=0.0)
         if (known := self._limits.find(ask.start)) is not None:
-            # It may have heard later of the limit than the VM that asks.
+            # This VM may know a more recent limit than the one that asks.
             ask = ask._replace(rate=known.rate)
         return self._my_limiter().decide(ask, place, self._has_quorum(), _now_ms())
 
     async def obtain(
         self, questions: Questions, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> tuple[Permit | Denied, Found]:
-        """Return a permit once it may be used, or until when there is none."""
+        """Return a permit as soon as it is valid, or the time until which there is none."""
         asked_at = _now_ms()
         found = await self._ask(questions, server, limit, patience_ms)
         match found.verdict:
@@ -138,7 +138,7 @@
                 until = asked_at + wait_ms + PERMIT_MS
                 if _now_ms() < until:
                     return Permit(server.start, until), found
-                # It came too late, as where this process stood still.
+                # The permit has expired already, for example because this process was paused.
                 denied = Denied(_now_ms())
             case Verdict(Outcome.LATER, wait_ms):
                 denied = Denied(_now_ms() + wait_ms)
@@ -150,7 +150,7 @@
     async def _ask(
         self, questions: Questions, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> Found:
-        """Return what the first limiter says that answers and can tell."""
+        """Return the verdict of the first limiter that answers and is able to decide."""
         said = server.announcement
         silent_ms = math.inf
         for host in self._limiters(said.server, said.failure_domain):
@@ -172,7 +172,7 @@
     async def _ask_other(
         self, questions: Questions, host: str, ask: Ask, domain: str, age_ms: float
     ) -> Verdict | None:
-        """Return the verdict of another VM, None where it is silent."""
+        """Return the verdict of another VM, or None if it does not answer."""
         now = _now_ms()
         if self._passed_over.get(host, now) > now:
             return None
--- a/siskinspoke/gateway/pool.py
+++ b/siskinspoke/gateway/pool.py
@@ -1,28 +1,28 @@
-"""Kept connections to backend servers."""
+"""A pool of idle connections to backend servers."""
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.transport.http1 import ServerConnection
 
-# A server that does not say how long it keeps an idle connection is trusted this long.
+# Assumed idle timeout of a server that does not announce one.
 IDLE_SECONDS = 3.0
-# Part of the time that a server keeps a connection for which it is used: the server's clock
-# started when its answer left, and a request needs time to arrive.
+# Fraction of the server's idle timeout during which a connection is reused. The server's timeout
+# started when it sent its response, and a request needs time to arrive.
 IDLE_SHARE = 0.6
 MOST_IDLE = 16
 
 
 class Pool:
-    """Keep idle connections by server, the last used first; times are in milliseconds.
+    """Keep idle connections per server process, most recently used first; times in milliseconds.
 
-    They are kept by start: a connection to a process that is gone must not carry a request for
-    the one that has taken its name.
+    Connections are keyed by server incarnation: a connection to a dead process must not carry a
+    request for the process that has replaced it under the same name.
     """
 
     def __init__(self) -> None:
         self._idle: dict[tuple[str, int], list[ServerConnection]] = {}
 
     def take(self, server: ServerRecord, now: float, fresh_ms: float) -> ServerConnection | None:
-        """Return a connection used within ``fresh_ms`` on which nothing has arrived since."""
+        """Return a connection used within ``fresh_ms`` that has no unread data, or None."""
         kept = self._idle.get(server.start, [])
         while kept:
             connection = kept.pop()
@@ -37,7 +37,7 @@
         return now - connection.used_at < most and connection.is_quiet()
 
     def put(self, server: ServerRecord, connection: ServerConnection) -> None:
-        """Keep a connection whose answer is complete."""
+        """Return a connection to the pool after a complete response."""
         kept = self._idle.setdefault(server.start, [])
         if len(kept) >= MOST_IDLE:
             kept.pop(0).cut()
@@ -58,7 +58,7 @@
                 del self._idle[start]
 
     def close(self) -> None:
-        """Close all."""
+        """Close all pooled connections."""
         for kept in self._idle.values():
             for connection in kept:
                 connection.cut()
--- a/siskinspoke/gateway/questions.py
+++ b/siskinspoke/gateway/questions.py
@@ -1,4 +1,4 @@
-"""Questions of this VM to others, by datagram: where they would place a prompt, and for permits."""
+"""Queries to other VMs by datagram: where they would place a prompt, and requests for permits."""
 
 import itertools
 from collections.abc import Callable
@@ -10,11 +10,11 @@
 from siskinspoke.protocol.peers import PermitReply, PermitRequest, PlaceOffer, PlaceQuestion
 from siskinspoke.transport.datagrams import DatagramPort
 
-# A question takes two crossings of 1 ms and a millisecond of processor at the VM asked; one that
-# has no answer by then met a VM that is busy, gone or cut off.
+# A query takes two network crossings of 1 ms and 1 ms of processor time at the other VM. A VM that
+# has not answered by then is busy, gone or partitioned.
 ANSWER_SECONDS = 0.02
 
-# A question for a permit may cross between regions, and its VM may be busy.
+# A permit request may cross regions, and the VM that answers it may be busy.
 PERMIT_SECONDS = 0.05
 
 Address = tuple[str, int]
@@ -22,7 +22,7 @@
 
 
 class Questions:
-    """Own the questions that wait for a reply; ``offer`` and ``permit`` answer other VMs'."""
+    """Track pending queries; ``offer`` and ``permit`` answer those of other VMs."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self._waiting: dict[int, trio.MemorySendChannel[Reply]] = {}
 
     def use(self, port: DatagramPort) -> None:
-        """Take over the port on which entry VMs hear each other."""
+        """Set the datagram port that the entry VMs use among themselves."""
         self._port = port
 
     async def ask(self, question: PlaceQuestion, asked: list[Address]) -> list[PlaceOffer]:
-        """Put a question to several VMs and return the offers that come in time."""
+        """Send a placement query to several VMs and return the offers that arrive in time."""
         if self._port is None or not asked:
             return []
         self._counters.count("cells.asked", len(asked))
@@ -59,7 +59,7 @@
         return [offer for offer in offers if offer.servers]
 
     async def ask_permit(self, question: PermitRequest, host: str) -> PermitReply | None:
-        """Ask another VM for a permit; return None where it is silent."""
+        """Ask another VM for a permit; return None if it does not answer in time."""
         if self._port is None:
             return None
         with self._numbered(1) as (number, receive):
@@ -79,7 +79,7 @@
             del self._waiting[number]
 
     def hear(self, reply: Reply) -> None:
-        """Take in a reply; one that comes too late is of no use any more."""
+        """Deliver a reply to the pending query; late replies are counted and dropped."""
         late = "cells.late_offers" if isinstance(reply, PlaceOffer) else "permit.late"
         waiting = self._waiting.get(reply.number)
         if waiting is None:
@@ -88,11 +88,11 @@
         try:
             waiting.send_nowait(reply)
         except trio.WouldBlock:
-            # A doubled datagram: each VM asked has its place in the channel already.
+            # A duplicated datagram: the channel has exactly one slot for each VM asked.
             self._counters.count(late)
 
     async def answer(self, question: PlaceQuestion | PermitRequest) -> None:
-        """Answer another VM."""
+        """Answer a query of another VM."""
         match question:
             case PlaceQuestion():
                 self._counters.count("cells.answered")
--- a/siskinspoke/gateway/reports.py
+++ b/siskinspoke/gateway/reports.py
@@ -1,11 +1,11 @@
-"""Ask engines how they are, each of them by one entry VM that tells the others.
-
-An engine that has turned slow, or dark, looks like any other until work that was sent there is
-late.  One small question a second to each engine that has work finds out before.  One that has
-none is found out by the first prompt that it gets, and harms nobody until then; but one that was
-slow is asked until it is well again, or nobody would ever use it.  The entry VM that asks is
-drawn by rendezvous hashing among those of its cell, so each engine is asked once whatever the
-number of VMs, and another one takes over when the VMs that are known change.
+"""Poll the engines for their status, each by one entry VM that informs the others.
+
+An engine that has become slow or unresponsive looks healthy until work sent to it is late.
+Polling each engine that has work once a second detects this earlier. An idle engine is not polled:
+the first prompt sent to it reveals the problem, and until then it does no harm. An engine that was
+slow is polled until it has recovered, since it would otherwise never be used again. The polling VM
+is selected by rendezvous hashing among the entry VMs of the cell, so each engine is polled once
+regardless of the number of VMs, and another VM takes over when the set of known VMs changes.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,26 +23,26 @@
 
 EVERY_SECONDS = 1.0
 ANSWER_SECONDS = 0.4
-# Up to this pace an engine is as fast as its costs say: paces vary by a tenth.
+# Up to this pace an engine counts as fast as configured; paces vary by a tenth.
 SOUND_PACE = 1.15
 FRESH_MS = 5_000.0
-# Cut-off domains are tried this often, one server each, to see when they are back.
+# How often one server of each unreachable domain is probed to detect its recovery.
 TRY_CUT_SECONDS = 0.4
-# While none is believed to be cut off, this often is looked for one.
+# How often to check for unreachable domains while none is known.
 NO_CUT_SECONDS = 1.0
 
 
 def asks(me: str, peers: list[str], server: str) -> bool:
-    """Tell whether this VM is the one that asks a server."""
+    """Return whether this VM is the one that polls a server."""
     return me == max(
         [me, *peers], key=lambda host: xxhash.xxh64_intdigest(f"{server}/{host}".encode())
     )
 
 
 class Asked:
-    """The servers that this VM asks; drawn anew only when VMs or servers have changed.
+    """The servers that this VM polls, recomputed only when VMs or servers have changed.
 
-    To draw costs a hash for each pair of a server and a VM: 5,300 a second at 68 VMs.
+    Recomputing costs one hash for each pair of a server and a VM: 5,300 a second with 68 VMs.
     """
 
     def __init__(self, me: str):
@@ -51,7 +51,7 @@
         self._mine: frozenset[str] = frozenset()
 
     def of(self, peers: list[str], servers: Iterable[str]) -> frozenset[str]:
-        """Return this VM's part of the servers."""
+        """Return the servers that this VM polls."""
         wanted = frozenset(peers), frozenset(servers)
         if wanted != self._drawn_for:
             self._drawn_for = wanted
@@ -60,10 +60,10 @@
 
 
 async def ask_forever(gateway: Gateway, hears_control: Callable[[], bool]) -> None:
-    """Ask this VM's part of its cell's engines, forever.
+    """Poll this VM's share of its cell's engines, forever.
 
-    While no control VM is heard all engines are asked: their own answers are then all that shows
-    which of them are well.
+    While no control VM is heard, idle engines are polled as well, since their responses are then
+    the only evidence that they are healthy.
     """
     asked = Asked(gateway.settings.host)
     async with trio.open_nursery() as nursery:
@@ -78,13 +78,13 @@
 
 
 def is_worth_asking(books: Books, engine: str) -> bool:
-    """Tell whether an engine has work, or was slow by its last word."""
+    """Return whether an engine has work, or was slow in its last report."""
     book = books.engine(engine)
     return bool(book.works) or book.pace > SOUND_PACE
 
 
 def _engines(gateway: Gateway) -> list[ServerRecord]:
-    """Return the engines that this VM's cell keeps books of."""
+    """Return the engines of this VM's cell."""
     if gateway.table is None:
         return []
     services = [item.name for item in gateway.table.services.values() if item.engine is not None]
@@ -93,7 +93,7 @@
 
 
 async def _ask(gateway: Gateway, record: ServerRecord) -> None:
-    """Ask one engine, and pass on how slow it says that it is."""
+    """Poll one engine, and pass its reported pace on to the peers."""
     said = record.announcement
     question = gateway.wire.report_request(said.server)
     reply = await ask(gateway, record, question, b"", ANSWER_SECONDS, FRESH_MS)
@@ -113,7 +113,7 @@
 
 
 async def try_cut_domains_forever(gateway: Gateway) -> None:
-    """See when a failure domain that was out of reach is back."""
+    """Probe unreachable failure domains to detect when they are back."""
     while True:
         cut = gateway.domains.cut_now(now_ms())
         await trio.sleep(TRY_CUT_SECONDS if cut else NO_CUT_SECONDS)
--- a/siskinspoke/gateway/restrictions.py
+++ b/siskinspoke/gateway/restrictions.py
@@ -1,21 +1,21 @@
-"""Take in by what backend servers restrict the requests of this VM, in their answers."""
+"""Apply the restrictions that backend servers announce in their responses."""
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.wire import Answer
 from siskinspoke.protocol.peers import RateLimitNews
 
-# From this status on an answer may come from whatever stands in for a server that fails, so it
-# takes nothing back.
+# A response with this status or above may come from a component that stands in for a failed server,
+# so it does not lift any restriction.
 FAILED = 500
 
 
 def hear_answer(
     gateway: Gateway, request_id: str, server: ServerRecord, answer: Answer, sent_at: float
 ) -> None:
-    """Take in what an answer asks for; one that belongs to another request is too old for it.
+    """Apply the restrictions of a response, unless it is a stale one for another request.
 
-    ``request_id`` is empty for this VM's own questions and orders.
+    ``request_id`` is empty for this VM's own status queries and orders.
     """
     if answer.misdirected or answer.request_id not in (None, request_id):
         return
@@ -29,7 +29,7 @@
 
 
 def _is_sound(answer: Answer) -> bool:
-    """Tell whether what an answer leaves out means that the server no longer asks for it."""
+    """Return whether the absence of a restriction in a response means that it has been lifted."""
     return (
         answer.status < FAILED
         and answer.request_id is not None
@@ -89,7 +89,7 @@
 
 
 def hear_rate_limit(gateway: Gateway, news: RateLimitNews) -> None:
-    """Take in what another VM has been told of a server's limit."""
+    """Apply a server's rate limit that was reported by another VM."""
     start, at = (news.server, news.incarnation), now_ms() - news.age_ms
     if news.rate is None:
         is_news = gateway.rate_limits.lift(start, at, at)
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -1,4 +1,4 @@
-"""Which backend servers a request may go to, and what its attempts teach."""
+"""Selection of backend servers for a request, and evaluation of its failed attempts."""
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.standing import Trouble
@@ -6,14 +6,14 @@
 from siskinspoke.gateway.sending import not_held, opens_in_ms, unlimited
 from siskinspoke.gateway.upstream import Broke, NotRun
 
-# A server in another failure domain costs two crossings more, about 3 ms.
+# Extra latency of a server in another failure domain: two more network crossings.
 REMOTE_MS = 3.0
-# Part of its target that a request may wait for a permit.
+# Fraction of its target latency that a request may wait for a permit.
 PERMIT_SHARE = 0.5
 
 
 def choose_service(gateway: Gateway, request: Request) -> str:
-    """Return one service of the route, by weight, among those that have servers."""
+    """Return a service of the route, chosen at random by weight among those that have servers."""
     now = now_ms()
     shares = [share for share in request.route.shares if share.weight > 0]
     served = [share for share in shares if gateway.directory.is_served(share.service, now)]
@@ -25,23 +25,23 @@
 
 
 def candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
-    """Return the servers that may get a request now, those that stood up best alone."""
+    """Return the servers that may get a request now, restricted to the healthiest."""
     known = gateway.directory.believed(service, now_ms())
     return _usable(gateway, not_held(gateway, known), excluded)
 
 
 def cell_candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
-    """Return the servers in this VM's books that may get a request now."""
+    """Return the servers of this VM's cell that may get a request now."""
     mine = gateway.cells.servers(service)
     known = gateway.directory.believed_among(mine, now_ms())
     return _usable(gateway, not_held(gateway, known), excluded)
 
 
 def reachable(gateway: Gateway, records: list[ServerRecord]) -> list[ServerRecord]:
-    """Return those that this VM can reach, as far as it knows.
+    """Return the servers that are reachable from this VM as far as it knows.
 
-    Where too many cannot be reached some of them may get requests all the same, but none that
-    would have to leave a server for it.
+    If too many are unreachable, some of them may still get requests, but a request is never moved
+    away from another server to one of them.
     """
     now = now_ms()
     return [
@@ -53,14 +53,15 @@
 
 
 def reachable_unlimited(gateway: Gateway, records: list[ServerRecord]) -> list[ServerRecord]:
-    """Return the servers for which a request may leave another one."""
+    """Return the servers to which a request may be moved from another server."""
     return reachable(gateway, unlimited(gateway, records))
 
 
 def permit_patience_ms(gateway: Gateway, request: Request, server: ServerRecord) -> float:
-    """Return how long a request may wait for a permit: not at all where another server needs none.
+    """Return how long a request may wait for a permit; 0 if another server needs no permit.
 
-    Beyond a part of its target it is refused instead, and may go to another VM in time.
+    The wait is limited to a fraction of the target latency. After that the request is refused, in
+    time for the client to try another VM.
     """
     if gateway.rate_limits.find(server.start) is None:
         return 0.0
@@ -88,7 +89,7 @@
 
 
 def _one_an_address(records: list[ServerRecord]) -> list[ServerRecord]:
-    """Keep the server that was heard of last at each address: the others there are gone."""
+    """Keep only the most recently announced server at each address; the others are gone."""
     latest: dict[tuple[str, int], ServerRecord] = {}
     for record in records:
         address = (record.announcement.host, record.announcement.port)
@@ -99,10 +100,10 @@
 
 
 def least_loaded(gateway: Gateway, records: list[ServerRecord]) -> ServerRecord:
-    """Return the server at which a request would end soonest, of two drawn by lot or of few.
+    """Return the server expected to finish a request soonest.
 
-    With few servers all are compared; with many, two by lot, so that VMs which know the same
-    do not all choose the same.
+    With up to four servers, all are compared. With more, two random ones are compared, so that VMs
+    with the same information do not all choose the same server.
     """
     now = now_ms()
     names = [record.announcement.server for record in records]
@@ -118,7 +119,7 @@
 def learn(
     gateway: Gateway, request: Request, record: ServerRecord, outcome: NotRun | Broke
 ) -> None:
-    """Take in what a failed attempt shows of a server."""
+    """Update the state of a server after a failed attempt."""
     now = now_ms()
     server, incarnation = record.start
     gateway.counters.count(f"attempt.{outcome.trouble.value}")
@@ -138,7 +139,7 @@
             leaving=gateway.directory.has_left(server),
         )
     if gateway.directory.superseded(server, incarnation):
-        # The process that failed is gone, and the new one has not.
+        # The failed process is gone; its failure says nothing about the new one.
         return
     if isinstance(outcome, NotRun) and outcome.trouble is Trouble.UNREACHABLE and outcome.arrived:
         gateway.directory.retire(server, incarnation)
@@ -149,7 +150,7 @@
         faulty = outcome.member
     if isinstance(outcome, NotRun) and outcome.at_fault is not None:
         faulty = _at(gateway, outcome.at_fault) or server
-        # This VM may well reach it, so a look would prove nothing.
+        # This VM may well reach that server, so a probe from here would prove nothing.
         trouble = Trouble.SILENT
     was_aside = gateway.standing.is_aside(faulty, now)
     gateway.standing.failed(faulty, trouble, now)
--- a/siskinspoke/gateway/widening.py
+++ b/siskinspoke/gateway/widening.py
@@ -1,9 +1,9 @@
-"""Ask other cells for room where this VM's own cell is short of it.
+"""Place prompts in other cells when this VM's own cell is short of capacity.
 
-A cell holds a part of its failure domain's engines.  A burst, a clump of long prompts or a loss
-of engines may fill one cell while others have room.  Some others are asked for each prompt that
-would wait too long, one of this failure domain among them; the best offer is taken.  Their VMs keep
-the books of their engines, so an offer is as good as a choice of their own.
+A cell holds a part of its failure domain's engines. A burst, a cluster of long prompts or a loss
+of engines may fill one cell while others have capacity. For each prompt that would wait too long, a
+few other cells are queried, one of them in this failure domain, and the best offer is taken. The
+VMs of those cells track the load of their engines, so an offer is as accurate as their own choice.
 """
 
 from collections.abc import Iterable
@@ -22,9 +22,9 @@
 async def ask_others(
     gateway: Gateway, request: Request, job: Job, excluded: Iterable[str], found: Place | None
 ) -> Place | None:
-    """Return the best place in some other cells if it is better than what was found, or None."""
+    """Return the best place offered by other cells if it is better than ``found``, else None."""
     asked = _to_ask(gateway)
-    # ``Questions`` puts in who asks, and the number by which it knows the offers.
+    # ``Questions`` fills in the asking host and the number that matches offers to the query.
     question = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
     offers = await gateway.questions.ask(question, asked)
     request.offers = len(offers)
@@ -37,7 +37,7 @@
 
 
 def _to_ask(gateway: Gateway) -> list[tuple[str, int]]:
-    """Return one VM of each cell to ask, drawn by lot."""
+    """Return the VMs to query: one random VM of each of a few random cells."""
     now, here = now_ms(), gateway.settings.failure_domain
     cells = [cell for cell in gateway.cells.others if not gateway.domains.is_cut(cell.domain, now)]
     near = [cell for cell in cells if cell.domain == here]
@@ -49,7 +49,7 @@
 
 
 def _place_of(gateway: Gateway, offer: PlaceOffer) -> Place | None:
-    """Return an offered place, or None where this VM knows a reason against it."""
+    """Return an offered place, or None if this VM knows that one of its servers is unusable."""
     records = [gateway.directory.latest(name) for name in offer.servers]
     if any(record is None or not _is_usable(gateway, record) for record in records):
         return None
--- a/siskinspoke/platform/__init__.py
+++ b/siskinspoke/platform/__init__.py
@@ -1,8 +1,8 @@
-"""The adapter to the users' platform: names, formats and calls, and nothing that decides.
+"""Adapter to the users' platform: its names, formats and calls, without any decision logic.
 
-Everything that the platform calls by a name of its own is decoded here into the product's
-types, and encoded back here.  No other package knows those names.
+Everything to which the platform gives a name of its own is decoded here into this project's types
+and encoded back. No other package uses the platform's names.
 """
 
-# The environment variable in which the platform names a VM's settings file.
+# The environment variable in which the platform passes the path of a VM's settings file.
 SETTINGS_VARIABLE = "SISKINSPOKE_BOOT"
--- a/siskinspoke/platform/calls.py
+++ b/siskinspoke/platform/calls.py
@@ -1,4 +1,4 @@
-"""Decode callers' requests and servers' answers, and encode what is sent to both."""
+"""Decode client requests and server responses, and encode the messages sent to either."""
 
 import msgspec
 from expression import Error, Ok, Result
@@ -20,7 +20,7 @@
 
 NEVER_RAN_STATUSES = frozenset({421})
 MISDIRECTED = 421
-# With these a server may say when it wants requests of this VM again.
+# Statuses with which a server may say when it will accept requests from this VM again.
 TURNED_AWAY_STATUSES = frozenset({429, 503})
 MOST_RANK = 9
 
@@ -57,10 +57,10 @@
 
 
 class PlatformWire:
-    """The platform's formats on the way of a request."""
+    """Encode and decode the platform's formats for requests, responses and engine orders."""
 
     def decode_call(self, head: RequestHead, body: bytes) -> Result[Call, Failure]:
-        """Return the call that a client's request holds."""
+        """Decode a client's request."""
         call_id = _first(head.headers, names.REQUEST_ID)
         if call_id is None:
             return Error(Failure(ResultCode.INVALID_FIELD, "the request has no id"))
@@ -91,7 +91,7 @@
         )
 
     def encode_dispatch(self, dispatch: Dispatch) -> RequestHead:
-        """Return the request that a server gets."""
+        """Encode a request for a backend server."""
         call = dispatch.call
         headers = list(call.headers)
         headers.append((names.DEADLINE, b"%d" % max(1, int(dispatch.left_ms))))
@@ -109,7 +109,7 @@
         return RequestHead(call.method, call.target, headers)
 
     def decode_answer(self, head: AnswerHead) -> Answer:
-        """Return what a server's answer means."""
+        """Decode the response head of a backend server."""
         connection = (_first(head.headers, b"Connection") or "").lower()
         kept = [
             (name, value)
@@ -131,7 +131,7 @@
         )
 
     def own_answer(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
-        """Return the answer that a failure of this system's own gets."""
+        """Encode the response for a failure that originates in this system."""
         body = msgspec.json.encode(failure.to_document())
         headers = [(b"Content-Type", b"application/json")]
         if call_id:
@@ -143,28 +143,28 @@
     def reserve_order(
         self, server: str, name: str, tokens: int, lease_ms: int
     ) -> tuple[RequestHead, bytes]:
-        """Return the order that reserves an engine's memory, or renews a reservation."""
+        """Return the order that reserves memory of an engine, or renews a reservation."""
         return orders.reserve_order(server, name, tokens, lease_ms)
 
     def report_request(self, server: str) -> RequestHead:
-        """Return the question to an engine how it is."""
+        """Return the request for an engine's status report."""
         return orders.report_request(server)
 
     def decode_report(self, status: int, body: bytes) -> EngineReport | None:
-        """Return what an engine says of itself, or None if it cannot be read."""
+        """Decode the status report of an engine; return None if it is invalid."""
         return orders.decode_report(status, body)
 
     def release_order(self, server: str, name: str) -> tuple[RequestHead, bytes]:
-        """Return the order that gives a reservation back."""
+        """Return the order that releases a reservation."""
         return orders.release_order(server, name)
 
     def table_from(self, document: dict) -> Result[RouteTable, Failure]:
-        """Return the route table of a configuration."""
+        """Decode a configuration into a route table."""
         return configuration.table_from(document)
 
 
 def _restrictions(status: int, headers: Headers) -> Restrictions:
-    """Return what a server asks of its callers."""
+    """Decode the restrictions that a server imposes on its callers."""
     rate_limit = _first(headers, names.RATE_LIMIT)
     rest = _first(headers, names.RETRY_AFTER) if status in TURNED_AWAY_STATUSES else None
     wanted = {"rate_limit": rate_limit, "back_off": rest}
@@ -181,7 +181,7 @@
 
 
 def _idle_seconds(text: str | None) -> float | None:
-    """Return how long a kept connection lasts, from a Keep-Alive header."""
+    """Return the idle timeout of a connection from a Keep-Alive header."""
     for part in (text or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout":
--- a/siskinspoke/platform/configuration.py
+++ b/siskinspoke/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decode the platform's configuration into the product's route table."""
+"""Decode the platform's configuration into a route table."""
 
 from typing import NamedTuple
 
@@ -26,14 +26,14 @@
 
 
 class WireShare(msgspec.Struct):
-    """One service of a split route."""
+    """One service of a route with a traffic split."""
 
     service: str
     weight: float
 
 
 class WireRoute(msgspec.Struct):
-    """A route; it goes either to ``service`` or by ``traffic_split``."""
+    """A route, which goes either to ``service`` or to the services of ``traffic_split``."""
 
     name: str
     host: str
@@ -51,23 +51,23 @@
 
 
 class WireEngine(msgspec.Struct):
-    """What the servers of a service cost; ``chunk`` and the rest are not used."""
+    """The cost model of a service's servers; ``chunk`` and other fields are ignored."""
 
     slots: int
     # Tokens that fit into one server's memory.
     kv_capacity: int
-    # Steps in a pass, and so tokens in an event.
+    # Decoding steps per pass, and thus tokens per event.
     stride: int
     step_ms: float
     per_seq_ms: float
     context_per_k: float
     read_per_s: float
-    # Milliseconds for a million pairs of a token and an earlier one.
+    # Attention cost: milliseconds per million pairs of a token and an earlier token.
     pairs_per_m: float
 
 
 class WireService(msgspec.Struct):
-    """A group of equal servers."""
+    """A group of identical servers."""
 
     name: str
     health_path: str = "/"
@@ -76,7 +76,7 @@
 
 
 class WireLimits(msgspec.Struct):
-    """What clients may send and how long they may take."""
+    """Limits on the size and the duration of client requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -85,7 +85,7 @@
 
 
 class WireCustomer(msgspec.Struct):
-    """A customer, under the platform's name for it."""
+    """A customer; the platform calls it a tenant."""
 
     name: str
     api_keys: list[str]
@@ -93,7 +93,7 @@
 
 
 class WireConfiguration(msgspec.Struct):
-    """A whole configuration."""
+    """A complete configuration document."""
 
     version: int
     routes: list[WireRoute]
@@ -103,7 +103,7 @@
 
 
 class Decoded(NamedTuple):
-    """A configuration as it was sent, and the table that it holds."""
+    """A configuration document as received, and the route table decoded from it."""
 
     document: dict
     table: RouteTable
@@ -167,7 +167,7 @@
 
 
 def table_from(document: dict) -> Result[RouteTable, Failure]:
-    """Return the route table of a document, or all its faults."""
+    """Decode a configuration document into a route table, or return all its errors."""
     try:
         table = _table(msgspec.convert(document, WireConfiguration))
     except (msgspec.MsgspecError, KeyError) as error:
@@ -185,7 +185,7 @@
 
 
 def decode_configuration(body: bytes) -> Result[Decoded, Failure]:
-    """Return what an operator sent, or why it cannot be in force."""
+    """Decode a configuration sent by an operator, or return why it is invalid."""
     try:
         document = msgspec.json.decode(body, type=dict)
     except msgspec.MsgspecError as error:
--- a/siskinspoke/platform/control_app.py
+++ b/siskinspoke/platform/control_app.py
@@ -1,4 +1,4 @@
-"""The platform's calls to a control VM: announcements of servers, and the operator's."""
+"""The platform's API on a control VM: server heartbeats and operator calls."""
 
 from typing import Any, Literal
 from urllib.parse import unquote
@@ -17,32 +17,32 @@
 
 BOUNDS = Bounds(body_bytes=16_000_000, body_seconds=5.0)
 JSON = "application/json"
-# A deregistration has no number; it goes after all that the same start of the server has sent.
+# A deregistration carries no sequence number; it supersedes every heartbeat of the same process.
 LAST_SEQ = 2**60
 DRAINING = "draining"
 
 
 class Beat(msgspec.Struct):
-    """What a server says of itself; the fields that nothing needs are left out."""
+    """The body of a server's heartbeat; unused fields are omitted."""
 
     service: str
     address: str
     zone: str
     seq: int
     state: Literal["ready", "draining"] = "ready"
-    # The Unix millisecond of the server's start, by its own clock; some deployments leave it out
-    # and give each start an id of its own.
+    # Start time of the server process as a Unix timestamp in milliseconds, by its own clock. Some
+    # deployments omit it and give each process its own server ID.
     born: int = UNDATED
 
 
 class Farewell(msgspec.Struct):
-    """What a server says as it deregisters; the body may also be empty."""
+    """The body of a deregistration, which may also be empty."""
 
     born: int | None = None
 
 
 def announcement_from(server: str, body: bytes) -> Result[Announcement, Failure]:
-    """Return the announcement that a heartbeat holds."""
+    """Decode a heartbeat into an announcement."""
     try:
         beat = msgspec.json.decode(body, type=Beat)
         address = address_from(beat.address)
@@ -65,9 +65,9 @@
 def farewell_from(
     server: str, body: bytes, known: Announcement | None
 ) -> Result[Announcement, Failure]:
-    """Return the leave that a deregistration holds, for the start that it names.
+    """Decode a deregistration into an announcement that the server is leaving.
 
-    One that names no start is a word of the latest that is known.
+    It applies to the server process whose start time it names, or else to the latest known one.
     """
     try:
         said = msgspec.json.decode(body, type=Farewell) if body else Farewell()
@@ -117,7 +117,7 @@
 
 
 class ControlApp:
-    """Answer the platform's calls to a control VM."""
+    """Serve the platform's API on a control VM."""
 
     def __init__(self, parts: ControlParts):
         self._registry = parts.registry
@@ -126,7 +126,7 @@
         self._known_services: tuple[int, frozenset[str] | None] = (0, None)
 
     async def answer(self, call: Call) -> Reply:
-        """Answer one call; a fault in one must not end the VM."""
+        """Answer one call; an exception in one must not stop the VM."""
         try:
             return await self._answer(call)
         except Exception as error:
@@ -147,7 +147,7 @@
         return _refusal(Failure(ResultCode.UNKNOWN_PATH, "no such path or method"), 404)
 
     def _services(self) -> frozenset[str] | None:
-        """Return the services of the configuration in force, None before there is one."""
+        """Return the services of the current configuration, or None before the first one."""
         held = self._registry.held
         if held.document is None:
             return None
--- a/siskinspoke/platform/names.py
+++ b/siskinspoke/platform/names.py
@@ -1,39 +1,40 @@
-"""The platform's header names, with what each holds where the name does not say it."""
+"""Names of the platform's HTTP headers."""
 
 REQUEST_ID = b"Request-Id"
-# The time that the client will wait, or that is left, in milliseconds; not a moment.
+# The time for which the client will still wait, in milliseconds; a duration, not a timestamp.
 DEADLINE = b"Deadline-Ms"
 API_KEY = b"Api-Key"
 # The name of the customer; only this system may set it.
 CUSTOMER = b"Tenant"
-# The incarnation that must serve the request; any other answers 421.
+# The server instance that must handle the request; any other answers 421.
 EXPECTED_SERVER = b"Expect-Instance"
 LAST_EVENT = b"Last-Event-Id"
-# Prompt tokens and the most output tokens, with a comma between.
+# Number of prompt tokens and maximum number of output tokens, separated by a comma.
 TOKEN_COUNTS = b"Token-Counts"
-# 0 goes first and 9 last.
+# From 0, the highest priority, to 9, the lowest.
 RANK = b"Request-Priority"
-# Other servers that read parts of the prompt, as HOST:PORT or HOST:PORT/RESERVATION.
+# Other servers that prefill parts of the prompt, as HOST:PORT or HOST:PORT/RESERVATION.
 HELPERS = b"Helpers"
 WEIGHTS_WANTED = b"Expect-Version"
-# Present on an answer that says that its request has not run and never will.
+# Present on a response to a request that has not run and never will.
 NOT_RUN = b"Not-Run"
-# The server's signature; it goes back to the client unchanged.
+# The server's signature, which is passed to the client unchanged.
 STAMP = b"Server-Stamp"
-# Running requests, waiting requests and slots.
+# Numbers of running requests, waiting requests and slots.
 LOAD = b"Server-Load"
-# The requests a second that a server takes from all VMs together, while its answers name it.
+# Requests per second that a server accepts from all VMs together; in effect while its responses
+# carry it.
 RATE_LIMIT = b"Server-Limit"
-# On the answers of a server that leaves.
+# Present on the responses of a server that is leaving.
 LEAVING = b"Server-Leaving"
-# The incarnation that does have the address, on a 421.
+# On a 421: the server instance that has the address now.
 ANSWERED_BY = b"Instance-Id"
-# The address of the server at fault, where a helper and not the addressed server failed.
+# The address of the helper that failed, if it was not the addressed server.
 AT_FAULT = b"At-Server"
-# When to come back, in seconds: on refusals to clients, and of servers to this system.
+# Delay before a retry, in seconds, on refusals sent to clients and on those of backend servers.
 RETRY_AFTER = b"Retry-After"
 
-# Headers that concern one connection and end with it.
+# Hop-by-hop headers, which are not forwarded.
 ONE_CONNECTION = frozenset(
     {
         b"connection",
@@ -48,7 +49,7 @@
         b"expect",
     }
 )
-# Headers that only this system may set on a request.
+# Request headers that only this system may set; they are removed from client requests.
 SET_HERE = frozenset(
     name.lower()
     for name in (DEADLINE, API_KEY, CUSTOMER, EXPECTED_SERVER, RANK, HELPERS, WEIGHTS_WANTED)
--- a/siskinspoke/platform/orders.py
+++ b/siskinspoke/platform/orders.py
@@ -1,4 +1,4 @@
-"""The platform's orders and questions to engines: memory set aside, given back, and pace."""
+"""The platform's orders and queries to engines: memory reservations and status reports."""
 
 import msgspec
 
@@ -8,11 +8,11 @@
 
 
 class Report(msgspec.Struct):
-    """What an engine says of itself; the fields that nothing needs are left out."""
+    """The status report of an engine; unused fields are omitted."""
 
-    # Over 1 where the engine is slower than its costs say.
+    # Above 1 if the engine is slower than its cost model predicts.
     pace: float = 1.0
-    # The Unix millisecond of its start, by its own clock.
+    # Start time as a Unix timestamp in milliseconds, by the engine's own clock.
     born: int | None = None
 
 
@@ -28,28 +28,28 @@
 
 
 def reserve_order(server: str, name: str, tokens: int, lease_ms: int) -> tuple[RequestHead, bytes]:
-    """Return the order that sets memory aside, or renews a reservation of the same name."""
+    """Return the order that reserves memory, or renews the reservation of the same name."""
     return _order(server, {"op": "reserve", "id": name, "tokens": tokens, "hold_ms": lease_ms})
 
 
 def release_order(server: str, name: str) -> tuple[RequestHead, bytes]:
-    """Return the order that gives a reservation back."""
+    """Return the order that releases a reservation."""
     return _order(server, {"op": "release", "id": name})
 
 
 def report_request(server: str) -> RequestHead:
-    """Return the question to an engine how it is."""
+    """Return the request for an engine's status report."""
     headers = [(b"Host", b"engine"), (names.EXPECTED_SERVER, server.encode())]
     return RequestHead("GET", "/report", headers)
 
 
 def decode_report(status: int, body: bytes) -> EngineReport | None:
-    """Return what an engine says of itself, or None if it cannot be read."""
+    """Decode the status report of an engine; return None if it is invalid."""
     if status != 200:
         return None
     try:
         report = msgspec.json.decode(body, type=Report)
     except msgspec.MsgspecError:
-        # Whoever asked counts a report that says nothing.
+        # The caller counts invalid reports.
         return None
     return EngineReport(report.pace, report.born)
