--- a/tests/gateway/test_cells.py
+++ b/tests/gateway/test_cells.py
@@ -1,4 +1,4 @@
-"""Tests of what VMs of a large fleet tell each other, and ask each other, across cells."""
+"""Tests for updates and queries between the VMs of a large fleet with several cells."""
 
 import random
 from types import SimpleNamespace
@@ -30,7 +30,7 @@
 DOMAINS = ("a", "b")
 VMS_A_DOMAIN = 30
 ENGINES_A_DOMAIN = 30
-# The time at which each run of a mock clock begins.
+# The initial time of a mock clock.
 START_MS = 0.0
 
 
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """A fleet of two failure domains with two cells each, as one VM knows it."""
+    """A fleet of two failure domains with two cells each, as seen by one VM."""
 
     def __init__(self, me: str = "10.0.0.0"):
         self.directory = Directory(60_000)
@@ -58,7 +58,7 @@
 
 
 class Port:
-    """A datagram port that keeps what is sent."""
+    """A datagram port that records what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[object, list]] = []
@@ -85,8 +85,8 @@
     )
 
 
-class TestTelling:
-    """Work is told to those who keep the books of its engines, and to nobody else."""
+class TestUpdates:
+    """Work is reported to the cells that track its engines, and to no others."""
 
     def test_fleet_has_cells_of_bounded_size(self):
         fleet = Fleet()
@@ -95,7 +95,7 @@
         assert len(fleet.cells.servers("m")) == ENGINES_A_DOMAIN // 2
 
     def told(self, server_of) -> tuple[Fleet, list[tuple[WorkNews, list]]]:
-        """Return what one VM tells of work at a server that is chosen from the fleet."""
+        """Return the updates that one VM sends about work at a server chosen from the fleet."""
         fleet, port = Fleet(), Port()
 
         async def run():
@@ -109,16 +109,16 @@
         trio.run(run)
         return fleet, port.sent
 
-    def test_work_in_the_own_cell_stays_there(self):
-        """With 195 VMs, telling each of them took nine tenths of the fleet's processor time."""
+    def test_work_in_own_cell_is_sent_to_own_cell_only(self):
+        """With 195 VMs, updates to every VM took nine tenths of the fleet's processor time."""
         fleet, sent = self.told(lambda fleet: min(fleet.cells.servers("m")))
         mine = fleet.cells.addresses(fleet.cells.mine)
         assert [addresses for _, addresses in sent] == [mine, mine]
         assert sent[0][0].began
         assert sent[1][0].wrote == sent[1][0].ended == [1]
 
-    def test_work_in_another_cell_is_told_there(self):
-        """VMs of that cell would otherwise take its engine for free, and pile work on it."""
+    def test_work_in_another_cell_is_sent_to_that_cell(self):
+        """VMs of that cell would otherwise assume that the engine is idle and overload it."""
         fleet, sent = self.told(lambda fleet: "b-3")
         watching = fleet.cells.watching(["b-3"])
         assert fleet.cells.mine not in watching
@@ -126,8 +126,8 @@
         expected = {at for cell in watching for at in fleet.cells.addresses(cell)}
         assert heard >= expected
 
-    def test_limit_of_another_cells_engine_is_told_there(self):
-        """An engine named its limit to a VM of another cell; its own cell was not told."""
+    def test_rate_limit_of_another_cells_engine_is_sent_to_that_cell(self):
+        """An engine announced its rate limit to a VM of another cell; its own cell was not told."""
         fleet, port = Fleet(), Port()
 
         async def run():
@@ -141,8 +141,8 @@
         assert heard == {at for cell in cells for at in fleet.cells.addresses(cell)}
         assert {item for item, _ in port.sent} == {RateLimitNews("b-3", 1, 2.0, 0.0)}
 
-    def test_open_work_is_told_again_while_nothing_else_is_said(self):
-        """A VM with one long stream has no news; its work must not be taken for a dead VM's."""
+    def test_open_work_is_kept_alive_without_updates(self):
+        """A VM with one long stream has no updates; its work must not expire as a dead VM's."""
         fleet, port = Fleet(), Port()
 
         async def run():
@@ -159,7 +159,7 @@
 
 
 def asking_gateway(fleet: Fleet, offers: list[PlaceOffer]) -> SimpleNamespace:
-    """Return a gateway whose questions are answered with these offers."""
+    """Return a gateway whose placement queries are answered with these offers."""
 
     async def ask(question: PlaceQuestion, asked: list) -> list[PlaceOffer]:
         gateway.asked = asked
@@ -187,43 +187,43 @@
 
 
 class TestWidening:
-    """A clump of long prompts fills one cell while others have room."""
+    """A cluster of long prompts fills one cell while others have capacity."""
 
-    def test_cell_with_room_asks_nobody(self):
+    def test_cell_with_capacity_sends_no_query(self):
         assert not is_short(Place(("a-1",), 110.0), 300.0)
         assert is_short(Place(("a-1",), 250.0), 300.0)
         assert is_short(None, 300.0)
 
-    def test_full_cell_takes_the_better_offer(self):
+    def test_full_cell_takes_best_offer(self):
         offers = [PlaceOffer(1, ["a-1"], 150.0, []), PlaceOffer(1, ["b-1"], 90.0, [])]
         gateway = asking_gateway(Fleet(), offers)
         assert widened(gateway, None).servers == ("b-1",)
         assert len(gateway.asked) == 3
 
-    def test_slightly_better_offer_is_left_alone(self):
-        """The asked cell has callers of its own."""
+    def test_slightly_better_offer_is_declined(self):
+        """The queried cell has clients of its own."""
         gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 190.0, [])])
         assert widened(gateway, Place(("a-1",), 200.0)) is None
 
-    def test_offer_behind_a_cut_is_of_no_use(self):
-        """The asked VM is reached, but its failure domain's engines are not."""
+    def test_offer_from_unreachable_domain_is_declined(self):
+        """The queried VM is reachable, but the engines of its failure domain are not."""
         gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
         for name in ("b-4", "b-5"):
             gateway.domains.unreached("b", name, START_MS)
         assert widened(gateway, None) is None
         assert all(host.startswith("10.0.0.") for host, _ in gateway.asked)
 
-    def test_server_that_failed_here_is_passed_over(self):
+    def test_offer_of_failed_server_is_declined(self):
         gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
         gateway.standing.failed("b-1", Trouble.SILENT, START_MS)
         assert widened(gateway, None) is None
 
 
-class TestQuestions:
-    """A question has an answer within some milliseconds, or none."""
+class TestQueries:
+    """A query is answered within some milliseconds, or not at all."""
 
-    def test_unanswered_question_costs_a_bounded_time(self):
-        """The VM asked has been killed; the caller's prompt must not wait for it."""
+    def test_wait_for_unanswered_query_is_bounded(self):
+        """The queried VM has been killed; the client's prompt must not wait for it."""
 
         async def run():
             questions = Questions("10.0.0.0", PORT, lambda question: None, Counters())
@@ -235,7 +235,7 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_late_and_doubled_offers_harm_nobody(self):
+    def test_late_and_duplicate_offers_are_ignored(self):
         async def run():
             questions = Questions("10.0.0.0", PORT, lambda question: None, Counters())
             questions.use(Port())
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what entry VMs believe of each other's work."""
+"""Tests for the exchange of work updates between entry VMs."""
 
 import trio
 
@@ -22,7 +22,7 @@
 
 
 def cell_view(host: str, others: list[str]) -> CellView:
-    """Return the cells of a small site, which are one, with two engines in their books."""
+    """Return the cells of a small site: a single one, with two engines."""
     directory = Directory(5_000)
     for name in ("e1", "e2"):
         said = Announcement(name, 1, 1, "a", host, 1, "", "m", False, False, 0, 0, 0, [], 0, 0)
@@ -32,7 +32,7 @@
 
 
 def peers(host: str, books: Books, domains: Domains | None = None) -> Peers:
-    """Return the peers of one VM, which tells nobody."""
+    """Return the peers of a VM that has no other VMs to send to."""
     budget = CommonBudget(0.2, 100)
     domains = domains or Domains()
     return Peers(
@@ -50,13 +50,13 @@
 
 
 def began(host: str, start: str, number: int) -> WorkNews:
-    """Return the news of a short prompt at one engine."""
+    """Return an update that a short prompt began at one engine."""
     item = WorkBegan(number, ["e1"], 5_000, 900, 300.0, 250.0, [])
     return WorkNews(host, start, [item], [], [], [], [], "a", [], [])
 
 
 class TestSilentPeers:
-    """The ends of a VM's work are lost; engines must not look taken for 20 s."""
+    """If the updates on finished work are lost, engines must not appear busy for 20 s."""
 
     def run(self, scenario):
         books = Books()
@@ -66,8 +66,8 @@
 
         trio.run(main)
 
-    def test_a_restarted_vm_has_none_of_its_old_work(self):
-        """A VM is killed with work open; it is back after a second and says what it begins."""
+    def test_work_of_restarted_vm_is_dropped(self):
+        """A VM is killed with open work; it is back a second later and reports new work."""
 
         async def scenario(mine, books):
             await mine._hear(began("10.0.0.2", "a", 1))
@@ -77,8 +77,8 @@
 
         self.run(scenario)
 
-    def test_a_cut_off_vm_is_forgotten(self):
-        """A failure domain is cut off; what its VMs end is not heard any more."""
+    def test_work_of_partitioned_vm_is_dropped(self):
+        """A failure domain is partitioned; updates on finished work no longer arrive."""
 
         async def scenario(mine, books):
             await mine._hear(began("10.0.0.2", "a", 1))
@@ -91,7 +91,7 @@
 
         self.run(scenario)
 
-    def test_own_work_stays(self):
+    def test_own_work_is_kept(self):
         async def scenario(mine, books):
             mine.began(Work(JOB, ("e1",), 0.0))
             mine.forget_silent(trio.current_time() * 1000 + 60_000)
@@ -99,7 +99,7 @@
 
         self.run(scenario)
 
-    def test_one_that_speaks_is_not_forgotten(self):
+    def test_work_of_vm_that_sends_updates_is_kept(self):
         async def scenario(mine, books):
             await mine._hear(began("10.0.0.2", "a", 1))
             await mine._hear(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
@@ -109,11 +109,11 @@
         self.run(scenario)
 
 
-class TestNews:
-    """What one VM begins and ends stands in the books of the others."""
+class TestUpdates:
+    """Work of one VM appears in the load state of the others."""
 
-    def test_a_round(self):
-        """Two VMs tell each other by datagram; the ends come after the beginnings."""
+    def test_begin_and_end_reach_other_vm(self):
+        """Two VMs exchange updates by datagram: first work begins, then it ends."""
         books = {host: Books() for host in ("127.0.0.1", "127.0.0.2")}
 
         async def main():
@@ -148,10 +148,10 @@
 
 
 class TestCuts:
-    """VMs of one failure domain tell each other which other domain is out of reach."""
+    """VMs of a failure domain tell each other which other domains are unreachable."""
 
     def heard(self, *news: tuple[str, str]) -> bool:
-        """Return whether a VM of domain a believes that b is cut, by others' host and domain."""
+        """Return whether a VM in a deems b unreachable after reports of these (host, domain)."""
         domains = Domains()
 
         async def main():
@@ -162,11 +162,11 @@
 
         return trio.run(main)
 
-    def test_two_vms_are_believed(self):
+    def test_reports_of_two_vms_suffice(self):
         assert self.heard(("10.0.0.2", "a"), ("10.0.0.3", "a"))
 
-    def test_one_vm_alone_may_be_cut_off_itself(self):
+    def test_reports_of_one_vm_do_not_suffice(self):
         assert not self.heard(("10.0.0.2", "a"), ("10.0.0.2", "a"))
 
-    def test_other_domains_see_another_cut(self):
+    def test_reports_from_other_domains_are_ignored(self):
         assert not self.heard(("10.0.1.2", "c"), ("10.0.1.3", "c"))
--- a/tests/gateway/test_permits.py
+++ b/tests/gateway/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits for a limited server in virtual time: several VMs, some of them faulty."""
+"""Tests in virtual time of permits for a rate-limited server, with several VMs and faults."""
 
 import random
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 class World:
-    """VMs that ask each other for permits, and the server that gets what they send."""
+    """A simulation of VMs that ask each other for permits, and of the server they send to."""
 
     def __init__(self, vms: int, rate: float, demand: float, seed: int):
         self.rng = random.Random(seed)
@@ -62,11 +62,11 @@
         return self.permits[self.hosts[0]]._limiters("i-1", "a")[0]
 
     def restart(self, host: str) -> None:
-        """Start a VM anew; it has forgotten everything but the limit."""
+        """Restart a VM, which keeps none of its state except the rate limit."""
         self.permits[host] = self._start(host)
 
     def questions(self, host: str):
-        """Return what carries a VM's questions."""
+        """Return the transport of a VM's permit requests."""
         world = self
 
         class Questions:
@@ -104,7 +104,7 @@
                 self.account.arrived(host, trio.current_time())
 
     async def run(self, faults) -> None:
-        """Let the VMs send for a while, with an uneven share of the callers each."""
+        """Let the VMs send for a while, each with an uneven share of the clients."""
         weights = [self.rng.uniform(0.05, 1.0) ** 3 for _ in self.hosts]
         for host in self.hosts:
             self.account.answered(host, -1.0, self.rate)
@@ -123,7 +123,7 @@
 
 
 async def no_faults(world: World) -> None:
-    """Let all VMs be well."""
+    """Inject no faults."""
 
 
 async def frozen_limiter(world: World) -> None:
@@ -137,14 +137,14 @@
 
 
 async def restarted_limiter(world: World) -> None:
-    """Start the limiter anew, again and again."""
+    """Restart the limiter repeatedly."""
     for _ in range(8):
         world.restart(world.limiter())
         await trio.sleep(2.0)
 
 
 async def cut_limiter(world: World) -> None:
-    """Cut the limiter off twice, alone and with others."""
+    """Partition the limiter twice, alone and with others."""
     for count in (1, len(world.hosts) // 3):
         first = world.limiter()
         others = [host for host in world.hosts if host != first]
@@ -154,8 +154,8 @@
         await trio.sleep(4.0)
 
 
-async def everything(world: World) -> None:
-    """Freeze, cut off and restart VMs over each other."""
+async def mixed_faults(world: World) -> None:
+    """Freeze, partition and restart VMs, with overlapping faults."""
     for _ in range(12):
         match world.rng.randrange(3):
             case 0:
@@ -170,18 +170,18 @@
 
 
 def play(vms: int, rate: float, faults, seed: int = 1, demand: float | None = None) -> World:
-    """Run one world in virtual time."""
+    """Run one simulation in virtual time."""
     world = World(vms, rate, 5 * rate + 5 if demand is None else demand, seed)
     trio.run(world.run, faults, clock=trio.testing.MockClock(autojump_threshold=0))
     return world
 
 
 class TestSumOverVms:
-    """The promise to a server holds whatever VMs there are and whatever becomes of them."""
+    """The rate limit of a server holds for any number of VMs, and whatever faults they have."""
 
     @pytest.mark.parametrize("vms", [1, 7, 24, 420])
     @pytest.mark.parametrize("rate", [0.0, 0.5, 1.0, 10.0])
-    def test_well(self, vms, rate):
+    def test_no_faults(self, vms, rate):
         world = play(vms, rate, no_faults)
         assert not world.account.broken
         assert world.arrived >= 0.9 * rate * SECONDS - 1
@@ -195,32 +195,32 @@
             (frozen_limiter, 0.55),
             (restarted_limiter, 0.35),
             (cut_limiter, 0.4),
-            (everything, 0.35),
+            (mixed_faults, 0.35),
         ],
     )
     def test_faults(self, faults, used, seed, rate, vms):
-        """A limiter was frozen, cut off or started anew; two VMs granted the whole rate."""
+        """A limiter is frozen, partitioned or restarted; two VMs both granted the whole rate."""
         world = play(vms, rate, faults, seed)
         assert not world.account.broken, world.account.broken[:3]
         assert world.arrived >= used * rate * SECONDS - 2
 
-    def test_one_vm_has_all_callers(self):
-        """Parts of equal size held the one VM that needed them to a seventh of the rate."""
+    def test_one_vm_has_all_clients(self):
+        """Equal shares limited a VM that had all the clients to a seventh of the rate."""
         world = play(1, 4.0, no_faults)
         alone = world.arrived
         assert alone >= 0.9 * 4.0 * SECONDS
 
     @pytest.mark.parametrize("vms", [7, 24, 420])
-    def test_questions(self, vms):
+    def test_number_of_permit_requests(self, vms):
         world = play(vms, 1.0, no_faults, demand=100.0)
         assert world.asked / SECONDS <= 35
 
 
 class TestChanges:
-    """A limit that changes while VMs ask."""
+    """A rate limit changes while VMs request permits."""
 
-    def test_limiter_that_knows_a_later_limit(self):
-        """A VM that had not heard of the lower limit was granted permits at the old one."""
+    def test_limiter_knows_newer_limit(self):
+        """A VM that did not know the lower limit was granted permits at the old one."""
 
         async def run():
             world = World(7, 50.0, 1.0, 1)
@@ -244,8 +244,8 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_two_lost_answers_are_no_long_silence(self):
-        """A limiter was taken for dead since an answer of its was lost long before another."""
+    def test_two_lost_answers_far_apart_are_not_an_outage(self):
+        """Two answers lost a long time apart made a VM treat the limiter as dead."""
 
         async def run():
             world = World(7, 50.0, 1.0, 1)
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -1,4 +1,4 @@
-"""Several gateways in this process, which hear control VMs and each other over loopback."""
+"""Several gateways in one process, connected to control VMs and each other over loopback."""
 
 from collections.abc import Callable, Iterable
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Own control VMs' hubs and entry VMs; a test starts and cuts off entry VMs as it likes."""
+    """The hubs of control VMs, and entry VMs that a test can start and partition."""
 
     def __init__(self, folder: Path, nursery: trio.Nursery, stack: AsyncExitStack):
         self._folder = folder
@@ -38,7 +38,7 @@
         self.service = "engines"
 
     async def start_controls(self) -> None:
-        """Start the hubs of two control VMs."""
+        """Start the feed hubs of two control VMs."""
         for host in self.controls:
             hub = FeedHub(
                 host,
@@ -53,7 +53,7 @@
             await self._nursery.start(hub.serve, host, FEED_PORT)
 
     async def start_vm(self) -> Site:
-        """Start an entry VM and wait until it hears the control VMs and knows the servers."""
+        """Start an entry VM, wait until it is connected, and announce the servers to it."""
         number = len(self.sites) + 1
         settings = vm_settings(
             f"entry-{number}", f"{self._net}.{100 + number}", tuple(self.controls), PORTS
@@ -70,7 +70,7 @@
         return site
 
     async def connect(self, site: Site) -> None:
-        """Let an entry VM hear and be heard."""
+        """Connect an entry VM to the control VMs and to the other entry VMs."""
         self._links[site.host] = trio.CancelScope()
         await self._nursery.start(self._talk, site)
         feeds = site.daemon._feeds
@@ -92,17 +92,17 @@
                     await trio.sleep_forever()
 
     async def cut_off(self, site: Site) -> None:
-        """Part an entry VM from control VMs and from the others; servers and clients reach it."""
+        """Partition an entry VM from all other VMs; servers and clients still reach it."""
         self._links.pop(site.host).cancel()
         await trio.testing.wait_all_tasks_blocked(0.05)
 
     def announce(self, server: StandinServer) -> None:
-        """Tell all entry VMs of a server."""
+        """Announce a server to all entry VMs."""
         for site in self.sites:
             site.announce(server, self.service, seq=server.starts)
 
     async def start_servers(self, service_scripts: Iterable, **traits) -> list[StandinServer]:
-        """Start one server for each script; those that end are back under other names."""
+        """Start one server per script; a server that crashes restarts under a new name."""
         for number, script in enumerate(service_scripts):
             server = StandinServer(f"i-{number}", on_back=self._back(number), **traits)
             server.script.extend(script)
@@ -119,18 +119,18 @@
         return back
 
     def sendings(self, body: bytes) -> int:
-        """Return how often a request has reached a server."""
+        """Return how many times a request has reached a server."""
         return sum(seen.body == body for server in self.servers for seen in server.seen)
 
     @property
     def ends(self) -> int:
-        """Return how often servers have ended."""
+        """Return how many times servers have crashed."""
         return sum(server.ends for server in self.servers)
 
 
 @asynccontextmanager
 async def fleet(tmp_path, vms: int):
-    """Run control VMs and so many entry VMs, which know no server so far."""
+    """Run control VMs and ``vms`` entry VMs, which initially know no servers."""
     async with AsyncExitStack() as stack, trio.open_nursery() as nursery:
         running = Fleet(tmp_path, nursery, stack)
         await running.start_controls()
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -1,4 +1,4 @@
-"""One gateway in this process before stand-in servers, with a raw client."""
+"""One gateway in this process in front of stand-in servers, with a raw client."""
 
 import json
 from contextlib import asynccontextmanager
@@ -37,7 +37,7 @@
 
 
 def document(version: int = 1, timeout_ms: float = 3_000, **changes) -> dict:
-    """Return a configuration with a route of each kind."""
+    """Return a configuration document with a route of each kind."""
     routes = [
         {
             "name": name,
@@ -65,24 +65,24 @@
 
 @dataclass
 class Answer:
-    """What a raw client read: all bytes until the answer's end or the connection's."""
+    """The bytes that a raw client read, up to the end of the response or of the connection."""
 
     raw: bytes
     ended: bool
 
     @property
     def status(self) -> int:
-        """Return the status, 0 where no answer came."""
+        """Return the status, or 0 if there was no response."""
         return int(self.raw.split(b" ", 2)[1]) if self.raw.startswith(b"HTTP/1.1 ") else 0
 
     @property
     def body(self) -> bytes:
-        """Return the body as it stands on the wire, chunk marks included."""
+        """Return the body as sent on the wire, including chunk framing."""
         return self.raw.partition(b"\r\n\r\n")[2]
 
     @property
     def whole(self) -> bool:
-        """Tell whether the answer looks complete to a client."""
+        """Return whether the response looks complete to a client."""
         head, _, body = self.raw.lower().partition(b"\r\n\r\n")
         if b"transfer-encoding: chunked" in head:
             return body.endswith(b"0\r\n\r\n")
@@ -94,7 +94,7 @@
 
 @dataclass
 class Site:
-    """A running gateway and its parts."""
+    """A running gateway, with the client address at which it listens."""
 
     daemon: GatewayDaemon
     port: int
@@ -103,7 +103,6 @@
 
     @property
     def gateway(self):
-        """Return the gateway."""
         return self.daemon.gateway
 
     def announce(
@@ -114,7 +113,7 @@
         started: int | None = None,
         leaving: bool = False,
     ) -> None:
-        """Make a server known, when it started if it says so, and whether it is about to leave."""
+        """Announce a server, optionally with its start time, as ready or leaving."""
         said = {
             "service": service,
             "address": f"{server.host}:{server.port}",
@@ -128,11 +127,11 @@
         self.daemon._on_news([announcement_from(server.name, body.encode()).ok])
 
     async def connect(self) -> trio.SocketStream:
-        """Open a client's connection."""
+        """Open a client connection."""
         return await trio.open_tcp_stream(self.host, self.port)
 
     async def ask(self, path: str, request_id: str = "r1", body: bytes = b"", **headers) -> Answer:
-        """Send one request on a connection of its own and read its answer."""
+        """Send one request on a new connection and read the response."""
         stream = await self.connect()
         async with stream:
             await stream.send_all(request_bytes(path, request_id, body, **headers))
@@ -140,7 +139,7 @@
 
     @asynccontextmanager
     async def asking(self, path: str, **headers):
-        """Keep a request open in the background; yield the list that its answer is added to."""
+        """Send a request in the background; yield the list to which its response is added."""
         answers: list[Answer] = []
 
         async def ask():
@@ -152,7 +151,7 @@
 
 
 def request_bytes(path: str, request_id: str = "r1", body: bytes = b"", **headers) -> bytes:
-    """Return the bytes of one request; a header's underscores stand for dashes."""
+    """Return the bytes of one request; underscores in header names become dashes."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     fields = {"Request-Id": request_id, "Api-Key": KEY, "Deadline-Ms": "2500", **named}
     lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"Content-Length: {len(body)}"]
@@ -161,7 +160,7 @@
 
 
 async def read_answer(stream: trio.SocketStream, seconds: float = 6.0) -> Answer:
-    """Read until the answer looks whole or the connection ends."""
+    """Read until the response is complete or the connection ends."""
     answer = Answer(b"", False)
     with trio.move_on_after(seconds):
         while not answer.whole:
@@ -177,7 +176,7 @@
 
 
 async def until(condition, seconds: float = 3.0) -> None:
-    """Wait for a condition; fail where it does not come true in time."""
+    """Wait for a condition; fail if it does not become true in time."""
     with trio.fail_after(seconds):
         while not condition():
             await trio.sleep(0.01)
@@ -210,7 +209,7 @@
 
 
 async def serve_clients(daemon: GatewayDaemon, log: DecisionLog, nursery: trio.Nursery) -> Site:
-    """Serve clients on a free port of a gateway's host, for as long as the nursery is open."""
+    """Serve clients on a free port of a gateway's host while the nursery is open."""
     host = daemon.gateway.settings.host
     daemon.gateway.chores = nursery
     listeners = await trio.open_tcp_listeners(0, host=host)
@@ -222,7 +221,7 @@
 
 @asynccontextmanager
 async def gateway_site(tmp_path, **changes):
-    """Run a gateway that knows a configuration and, so far, no server."""
+    """Run a gateway that has a configuration, unless told otherwise, and knows no servers."""
     settings = vm_settings()
     with (tmp_path / "log").open("w") as out:
         log = DecisionLog("entry-1", out)
@@ -239,7 +238,7 @@
 
 @asynccontextmanager
 async def servers(site: Site, service: str, *scripts, first: int = 0):
-    """Run one stand-in server for each script, and make all known; ``first`` is in their names."""
+    """Run and announce one stand-in server per script, numbered from ``first`` in their names."""
     async with trio.open_nursery() as nursery:
         running = []
         for number, script in enumerate(scripts, first):
@@ -253,7 +252,7 @@
 
 
 async def late_server(site: Site, behaviour, name: str = "i-late") -> StandinServer:
-    """Start an engine that the gateway did not know before, and make it known."""
+    """Start and announce an engine that was unknown to the gateway."""
     server = StandinServer(name)
     server.script.append(behaviour)
     await site.gateway.chores.start(server.serve)
--- a/tests/platform/standin_server.py
+++ b/tests/platform/standin_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's backend servers, with the ways in which they misbehave."""
+"""A stand-in for the platform's backend servers that can be scripted to misbehave."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True)
 class Whole:
-    """Answer a request whole; ``request_id`` puts another id into the answer.
+    """Send a complete response; ``request_id`` overrides the request ID in it.
 
-    Without a body of its own the answer's body is the request's id.
+    If ``body`` is None, the response's body is the request ID.
     """
 
     body: bytes | None = b"done"
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True)
 class Events:
-    """Stream events from ``first`` to ``last``; then end, be cut, or fall silent.
+    """Stream events from ``first`` to ``last``, then end, close the connection or stop sending.
 
-    The answer begins ``begin_after`` seconds after the request, as with a first token that is late.
-    Behind event ``silent_after`` nothing comes for ``silent_for`` seconds, as with an engine that
-    reads a long prompt beside the stream.
+    The response begins ``begin_after`` seconds after the request, like a late first token. After
+    event ``silent_after`` there is a pause of ``silent_for`` seconds, as with an engine that
+    prefills a long prompt while it decodes the stream.
     """
 
     first: int = 1
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Say that the request has not run, and for how many seconds the server wants no other."""
+    """Refuse the request as not run; ``back_off`` is the Retry-After time in seconds, if any."""
 
     status: int = 503
     headers: tuple[bytes, ...] = (b"Not-Run: 1",)
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Close:
-    """Read the request and close without a word; ``reset`` aborts the connection."""
+    """Read the request and close the connection without a response."""
 
 
 @dataclass(frozen=True)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Unframed:
-    """Answer without a length; the end of the connection is the end of the body."""
+    """Respond without a length; the body ends when the connection is closed."""
 
     body: bytes = b"unframed"
 
@@ -77,7 +77,7 @@
 
 @dataclass
 class Seen:
-    """One request as the server read it."""
+    """One request as received by the server."""
 
     head: str
     body: bytes
@@ -88,14 +88,14 @@
 
 @dataclass
 class StandinServer:
-    """Serve one request after the other as the script says, the last entry again and again.
+    """Serve requests in the order of the script, repeating its last entry.
 
-    All answers name ``rate_limit``, in requests a second, unless it is None, and say whether the
-    server is ``leaving``.  ``account`` tells
-    whether VMs keep to it; every test checks the accounts of all its servers at its end.
+    All responses carry ``rate_limit``, in requests a second, unless it is None, and state whether
+    the server is ``leaving``. ``account`` records whether VMs comply; at its end, every test checks
+    the accounts of all its servers.
 
-    A body in ``deadly`` ends the whole process ``dies_after`` seconds later, with all that is
-    open there.  It is back ``back_after`` seconds after that, and ``on_back`` is told.
+    A request whose body is in ``deadly`` crashes the whole process ``dies_after`` seconds later,
+    with everything open there. It restarts ``back_after`` seconds after that and calls ``on_back``.
     """
 
     name: str
@@ -115,7 +115,7 @@
     leaving: bool = False
     account: ServerAccount = field(init=False)
 
-    # The servers of the running test.
+    # The servers created by the running test.
     started: ClassVar[list["StandinServer"]] = []
 
     def __post_init__(self) -> None:
@@ -123,7 +123,7 @@
         self.started.append(self)
 
     async def serve(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen on a free port, and on the same one again after each end."""
+        """Listen on a free port, and on the same port again after each crash."""
         async with trio.open_nursery() as self._nursery:
             while True:
                 listeners = await trio.open_tcp_listeners(self.port, host=self.host)
@@ -140,7 +140,7 @@
 
     @property
     def ends(self) -> int:
-        """Return how often the process has ended."""
+        """Return how many times the process has crashed."""
         return self.starts - 1 + self.life.cancel_called
 
     async def _end_soon(self) -> None:
@@ -186,9 +186,9 @@
         return self.script.popleft() if len(self.script) > 1 else self.script[0]
 
     def _asks(self, vm: str, back_off: float | None = None, told: bool = True) -> list[bytes]:
-        """Return the header lines by which an answer to a VM asks for something.
+        """Return the header lines with the restrictions in a response to a VM.
 
-        ``told`` is False for an answer that the VM must not believe.
+        ``told`` is False for a response whose restrictions the VM must ignore.
         """
         if told:
             now = trio.current_time()
@@ -232,11 +232,11 @@
 
 
 def _peer(stream: trio.SocketStream) -> str:
-    """Return the address of the VM at the other end."""
+    """Return the address of the connected VM."""
     try:
         return stream.socket.getpeername()[0]
     except OSError as error:
-        raise trio.BrokenResourceError("the VM was gone before it was heard") from error
+        raise trio.BrokenResourceError("the VM disconnected before it was identified") from error
 
 
 def _whole(whole: Whole, request_id: bytes, asks: list[bytes]) -> bytes:
@@ -253,7 +253,7 @@
 
 
 def event(number: int) -> bytes:
-    """Return one event."""
+    """Return the encoded event with a number."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -1,4 +1,4 @@
-"""Tests of how servers' words on themselves are read."""
+"""Tests for decoding heartbeats, deregistrations and engine reports."""
 
 import random
 
@@ -30,9 +30,9 @@
 
 
 class TestHeartbeats:
-    """A heartbeat is read whole or not at all."""
+    """A heartbeat is accepted completely or not at all."""
 
-    def test_start_and_number(self):
+    def test_start_time_and_sequence_number(self):
         said = announcement_from("i-1", beat()).ok
         assert (said.incarnation, said.seq) == (BEAT["born"], 4)
         assert (said.host, said.port, said.leaving) == ("10.0.0.9", 8080, False)
@@ -67,11 +67,11 @@
             beat(born=True),
         ],
     )
-    def test_foreign(self, body):
+    def test_invalid(self, body):
         assert announcement_from("i-1", body).is_error()
 
-    def test_spoilt_bytes_never_raise(self):
-        """Another program writes whatever it likes; the answer is an error with a number."""
+    def test_corrupt_bytes_never_raise(self):
+        """Corrupt or foreign input must yield an error with a message, never an exception."""
         rng = random.Random(FUZZ_SEED)
         whole = beat()
         for _ in range(FUZZ_ROUNDS):
@@ -87,19 +87,19 @@
             decode_report(200, bytes(spoilt))
 
 
-class TestFarewells:
-    """A deregistration ends the start that it names."""
+class TestDeregistrations:
+    """A deregistration applies to the server process whose start time it names."""
 
-    def test_names_its_start(self):
+    def test_named_start_time(self):
         known = announcement_from("i-1", beat()).ok
         former = farewell_from("i-1", b'{"born":1}', known).ok
         assert (former.incarnation, former.leaving) == (1, True)
 
-    def test_empty_body_means_the_latest_start(self):
+    def test_empty_body_means_latest_start_time(self):
         known = announcement_from("i-1", beat()).ok
         assert farewell_from("i-1", b"", known).ok.incarnation == BEAT["born"]
 
-    def test_goes_after_all_words_of_its_start(self):
+    def test_supersedes_all_heartbeats_of_same_process(self):
         known = announcement_from("i-1", beat(seq=10**9)).ok
         assert farewell_from("i-1", b"", known).ok.seq > 10**9
 
@@ -108,7 +108,7 @@
 
 
 class TestReports:
-    """An engine's report tells its pace and its start."""
+    """An engine's report contains its pace and its start time."""
 
     def test_start(self):
         assert decode_report(200, b'{"pace":1.5,"born":12}').started == 12
--- a/tests/platform/test_back_off.py
+++ b/tests/platform/test_back_off.py
@@ -1,4 +1,4 @@
-"""Backend servers that turn a request away and say for how long they want no other."""
+"""Tests for backend servers that refuse a request and ask for a back-off time."""
 
 import pytest
 import trio
@@ -16,7 +16,7 @@
 
 
 async def press(site: Site, path: str, seconds: float = SECONDS + 0.5, **headers) -> list:
-    """Ask twenty times a second; return the answers."""
+    """Send twenty requests a second; return the responses."""
     answers = []
 
     async def ask(request_id: str) -> None:
@@ -30,12 +30,12 @@
 
 
 def arrivals(server: StandinServer) -> int:
-    """Return how many requests of clients a server got."""
+    """Return how many client requests a server received."""
     return sum("Request-Id" in seen.headers for seen in server.seen)
 
 
 class TestBackOff:
-    """A server gets nothing from a VM for the time for which it has asked."""
+    """A server gets no requests from a VM for the time that it asked for."""
 
     @pytest.mark.parametrize(
         ("service", "path", "more", "sound"),
@@ -44,8 +44,8 @@
             ("engines", "/stream/x", PROMPT, Events()),
         ],
     )
-    def test_one_server_rests(self, service, path, more, sound, tmp_path):
-        """A server asked for 3 s of rest and got requests every 0.2 s."""
+    def test_one_server_backs_off(self, service, path, more, sound, tmp_path):
+        """A server asked for a back-off of 3 s and still got requests every 0.2 s."""
 
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, service, [RESTS]):
@@ -60,8 +60,8 @@
         ("service", "path", "more", "sound"),
         [("plain", "/once/x", {}, Whole()), ("engines", "/stream/x", PROMPT, Events())],
     )
-    def test_all_servers_rest(self, service, path, more, sound, tmp_path):
-        """With all servers at rest half of them were handed back to serve anyway."""
+    def test_all_servers_back_off(self, service, path, more, sound, tmp_path):
+        """With all servers in back-off, half of them were used anyway."""
 
         async def run():
             script = [RESTS, sound]
@@ -80,8 +80,8 @@
 
         trio.run(run)
 
-    def test_answer_to_a_question_of_ours(self, tmp_path):
-        """An engine answered a question of the VM's own with a back-off, which nobody read."""
+    def test_back_off_in_response_to_status_poll(self, tmp_path):
+        """A back-off in an engine's response to the VM's own status poll was ignored."""
 
         async def run():
             async with (
--- a/tests/platform/test_control_app.py
+++ b/tests/platform/test_control_app.py
@@ -1,4 +1,4 @@
-"""Tests of the calls by which servers make themselves known to a control VM."""
+"""Tests for the calls by which servers announce themselves to a control VM."""
 
 import msgspec
 import trio
@@ -17,7 +17,7 @@
 
 
 class Hub:
-    """A hub with one follower that confirms all it is told."""
+    """A hub with one follower that confirms everything it receives."""
 
     followers = 1
 
@@ -25,24 +25,24 @@
         self.told = []
 
     def tell(self, announcements):
-        """Remember what the follower was told."""
+        """Record the announcements sent to the follower."""
         self.told += announcements
         return len(self.told)
 
     def tell_soon(self, announcements):
-        """Remember what the follower was told."""
+        """Record the announcements sent to the follower."""
         self.told += announcements
 
     def renew(self, announcement):
-        """Leave renewals out."""
+        """Ignore renewals."""
 
     async def confirmed(self, number, seconds):
-        """Return that nobody is missing."""
+        """Return that no confirmation is missing."""
         return 0
 
 
 class Control:
-    """A control VM's application without its group, and a client."""
+    """The application of a control VM without its replication group, and a client."""
 
     def __init__(self):
         self.counters = Counters()
@@ -53,7 +53,7 @@
         self.app = ControlApp(ControlParts(registry, self.counters, Latencies(), Quiet()))
 
     async def beat(self, server, **changes):
-        """Send a heartbeat; return the status of its answer."""
+        """Send a heartbeat; return the response status."""
         fields = {
             "service": "engines",
             "address": "10.0.0.9:8080",
@@ -65,19 +65,19 @@
         return await self.post(f"/instances/{server}/heartbeat", msgspec.json.encode(fields))
 
     async def post(self, path, body=b""):
-        """Send a call; return the status of its answer."""
+        """Send a call; return the response status."""
         return (await self.app.answer(Call("POST", path, body))).status
 
     def live(self):
-        """Return the names and starts of the servers that may get work."""
+        """Return the names and start times of the servers that may get work."""
         return [record.start for record in self.directory.live(now_ms())]
 
 
-class TestForeignWords:
-    """A word that names no server is refused, and what is known holds."""
+class TestInvalidAnnouncements:
+    """Invalid announcements are refused and leave the known servers unchanged."""
 
-    def test_refused_and_nothing_lost(self):
-        """Another program writes to the control VMs while a healthy server is known."""
+    def test_refused_without_side_effects(self):
+        """A foreign program sends heartbeats while a healthy server is registered."""
 
         async def run():
             control = Control()
@@ -99,10 +99,10 @@
         trio.run(run)
 
 
-class TestStarts:
-    """A server starts again under its name."""
+class TestRestarts:
+    """A server restarts under the same name."""
 
-    def test_lower_number_of_a_later_start(self):
+    def test_lower_sequence_number_after_restart(self):
         async def run():
             control = Control()
             await control.beat("i-1", seq=90)
@@ -111,7 +111,7 @@
 
         trio.run(run)
 
-    def test_after_its_deregistration(self):
+    def test_restart_after_deregistration(self):
         async def run():
             control = Control()
             await control.beat("i-1", seq=90)
@@ -122,8 +122,8 @@
 
         trio.run(run)
 
-    def test_late_deregistration_of_the_former_start(self):
-        """The deregistration was on its way while the server started again."""
+    def test_late_deregistration_of_old_process(self):
+        """The server restarts while its deregistration is in transit."""
 
         async def run():
             control = Control()
@@ -138,7 +138,7 @@
 
 
 class TestCalls:
-    """What is no call of the platform, and a fault in one that is."""
+    """Unknown calls, and an exception while handling a valid one."""
 
     def test_unknown_path_and_method(self):
         async def run():
@@ -148,8 +148,8 @@
 
         trio.run(run)
 
-    def test_fault_ends_one_call_alone(self):
-        """A fault got through to the nursery of the control VM, and would have ended it."""
+    def test_exception_fails_only_its_call(self):
+        """An exception escaped into the control VM's nursery and would have stopped the VM."""
 
         async def run():
             control = Control()
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -1,9 +1,9 @@
-"""A request that ends each server that begins to run it, and the callers beside it.
+"""Tests for requests that crash every server that runs them, and for the other clients.
 
-Engines ended in series, thirty in half a minute, and short prompts of many customers were cut in
-the middle of their answers.  One request was open at 28 of 54 ends, and its caller came back every
-half second, at any VM: "tried" of each of its log lines showed two engines that ended, and none
-of the lines knew of those before.  What a VM knows of a request's attempts ended with the request.
+A client repeated such a request every half second, at any VM. Thirty engines crashed within half a
+minute, and the responses to many customers' short prompts were cut off. The request was open at 28
+of 54 crashes, but no VM recognized it: what a VM knew of a request's attempts was discarded when
+the request ended.
 """
 
 import json
@@ -19,17 +19,17 @@
 
 DEADLY = b"what no engine survives"
 SOUND = b"what any engine answers"
-# Three servers may end under a request before it is known, and three more sendings may follow.
+# Three servers may crash before the request is identified, and three more sends may follow.
 KNOWN_AFTER = 3
 MOST_SENDINGS = KNOWN_AFTER + 3
-# Within this time of the third end every VM must know.
+# Every VM must have identified the request within this time of the third crash.
 SETTLE_SECONDS = 3.0
 PAUSE_SECONDS = 0.1
 
 
 @asynccontextmanager
 async def mortal_servers(site, service: str, count: int, script, renamed: bool):
-    """Run servers that end under the deadly request, and announce themselves when they are back."""
+    """Run servers that crash on the deadly request and announce themselves after a restart."""
 
     def back(server: StandinServer) -> None:
         if renamed:
@@ -53,18 +53,18 @@
 
 
 def sendings(running, body: bytes = DEADLY) -> int:
-    """Return how often a request has reached a server."""
+    """Return how many times a request has reached a server."""
     return sum(seen.body == body for server in running for seen in server.seen)
 
 
 def says_not_run(answer) -> bool:
-    """Tell whether an answer promises that its request has not run, and says when to come back."""
+    """Return whether a response states that its request has not run, and when to retry."""
     fate = json.loads(answer.body)["error"]["run"] if answer.status == 503 else ""
     return fate == "not_run" and b"retry-after" in answer.raw.lower()
 
 
 class TestOneVM:
-    """The same request comes ten times; the servers that it ends are few, and it is told so."""
+    """The same request arrives ten times; it crashes only a few servers and is then refused."""
 
     @pytest.mark.parametrize("renamed", [False, True])
     @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
             ("/solo/x", "engines", [Events(last=20, pause=0.1)]),
         ],
     )
-    def test_is_not_sent_for_ever(self, tmp_path, path, service, script, renamed):
+    def test_is_quarantined(self, tmp_path, path, service, script, renamed):
         async def run():
             async with (
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
@@ -93,13 +93,13 @@
 
 
 class TestBystanders:
-    """Whoever was open at the servers that ended is served, and is not taken for the cause."""
+    """Other requests open at the crashed servers are served and not considered the cause."""
 
     @pytest.mark.parametrize("renamed", [False, True])
     def test_six_streams_at_four_engines(self, tmp_path, renamed):
-        """Six callers' streams of 1.5 s break off with each engine; none of them was ever whole.
+        """Six clients' streams of 1.5 s break off with each engine, and none ever completed.
 
-        They move to the engines that are left, and so does the request that ends those too.
+        They move to the remaining engines, and so does the request that crashes those as well.
         """
 
         async def run():
@@ -140,7 +140,7 @@
 
 
 class TestSeveralVMs:
-    """The request comes to any VM next; what one has seen the others know."""
+    """The request may arrive at any VM; each must know what the others have observed."""
 
     def run(self, tmp_path, scenario):
         async def main():
@@ -152,7 +152,7 @@
         trio.run(main)
 
     async def come(self, sites, times: int, named: str) -> list:
-        """Have the request come so many times, to one VM after the other; return the answers."""
+        """Send the request to the VMs in turn, ``times`` times; return the responses."""
         answers = []
         for number in range(times):
             vm = sites[number % len(sites)]
@@ -161,14 +161,14 @@
         return answers
 
     async def assert_known(self, site, vms) -> None:
-        """Assert that the request is not sent on any more, whichever of the VMs it comes to."""
+        """Assert that none of these VMs forwards the request any more."""
         before = site.sendings(DEADLY)
         answers = await self.come(vms, 2 * len(vms) + 4, "later")
         assert site.sendings(DEADLY) - before <= 3
         assert all(says_not_run(answer) for answer in answers[-len(vms) :])
 
-    def test_any_vm_next(self, tmp_path):
-        """Each VM saw one engine end, or none; each began at zero."""
+    def test_arrives_at_any_vm(self, tmp_path):
+        """Each VM saw one engine crash or none, and counted from zero."""
 
         async def scenario(site):
             await self.come(site.sites, 6, "first")
@@ -178,8 +178,8 @@
 
         self.run(tmp_path, scenario)
 
-    def test_copies_at_the_same_time(self, tmp_path):
-        """Three VMs hold the same request when engines end under it, and each sends it on."""
+    def test_simultaneous_copies(self, tmp_path):
+        """Three VMs hold the same request when engines crash, and each forwards it again."""
 
         async def scenario(site):
             async with trio.open_nursery() as nursery:
@@ -191,8 +191,8 @@
 
         self.run(tmp_path, scenario)
 
-    def test_vm_that_starts_later(self, tmp_path):
-        """A VM is started after the others have learned of the request, and gets it next."""
+    def test_vm_started_later(self, tmp_path):
+        """A VM starts after the others have identified the request, and then receives it."""
 
         async def scenario(site):
             await self.come(site.sites, 6, "first")
@@ -202,8 +202,8 @@
 
         self.run(tmp_path, scenario)
 
-    def test_vm_that_was_cut_off(self, tmp_path):
-        """A VM is cut off from all others while they learn of the request, and is back."""
+    def test_vm_reconnected_after_partition(self, tmp_path):
+        """A VM is partitioned while the others identify the request, and is then reconnected."""
 
         async def scenario(site):
             *others, away = site.sites
@@ -215,10 +215,10 @@
 
         self.run(tmp_path, scenario)
 
-    def test_vm_that_is_cut_off(self, tmp_path):
-        """A VM that nobody hears gets the request again and again, and must help itself.
+    def test_partitioned_vm(self, tmp_path):
+        """A partitioned VM receives the request repeatedly and must identify it on its own.
 
-        What it has learned the others must know once it is back.
+        The others must know about it once the VM is reconnected.
         """
 
         async def scenario(site):
@@ -235,10 +235,10 @@
 
 
 class TestNoCause:
-    """What looks much like it, and must turn nobody away."""
+    """Similar situations in which no request must be quarantined."""
 
-    def test_connections_that_break(self, tmp_path):
-        """Engines break streams off and live on: a link is bad, or answers are spoilt."""
+    def test_broken_connections(self, tmp_path):
+        """Engines break off streams without crashing, due to a bad link or corrupt responses."""
 
         async def run():
             script = [Events(last=2, then="cut")]
@@ -254,8 +254,8 @@
 
         trio.run(run)
 
-    def test_servers_that_leave(self, tmp_path):
-        """Servers are replaced one after the other, each with the same slow request open."""
+    def test_leaving_servers(self, tmp_path):
+        """Servers are replaced one by one, each while the same slow request is open there."""
 
         async def run():
             script = [Events(last=40, pause=0.1)]
@@ -275,8 +275,8 @@
 
         trio.run(run)
 
-    def test_one_body_that_many_send(self, tmp_path):
-        """Many callers ask the same, and servers that answer them are killed for other reasons."""
+    def test_same_body_from_many_clients(self, tmp_path):
+        """Many clients send the same body, and their servers are killed for other reasons."""
 
         async def run():
             async with (
@@ -306,7 +306,7 @@
 
 
 async def holder_of(running) -> StandinServer:
-    """Return the server that holds a stream, once it has begun there."""
+    """Return the server that runs a stream, once the stream has reached it."""
 
     def holders() -> list[StandinServer]:
         alive = [server for server in running if not server.life.cancel_called]
--- a/tests/platform/test_false_crashes.py
+++ b/tests/platform/test_false_crashes.py
@@ -1,4 +1,4 @@
-"""Servers that refuse connections though they run, and a look that hears nothing."""
+"""Tests for running servers that refuse connections, and for probes without a response."""
 
 from collections import deque
 
@@ -14,7 +14,7 @@
 
 
 class Firewall:
-    """Stand between the gateway and its servers: refuse connections, or say nothing for a while."""
+    """Intercept the gateway's connections to servers: refuse them, or let some attempts hang."""
 
     def __init__(self, monkeypatch):
         self.refuses: set[int] | None = set()
@@ -32,15 +32,15 @@
 
 
 def crashes(site) -> list[str]:
-    """Return the servers that this VM believes to have crashed."""
+    """Return the names of the servers that this VM considers crashed."""
     return [crash.start[0] for crash in site.gateway.crashes.ledger.crashes]
 
 
 class TestDomainRefuses:
-    """A cut resets all connections into a failure domain and refuses new ones."""
+    """A partition resets all connections into a failure domain and refuses new ones."""
 
-    def test_no_server_there_has_crashed(self, tmp_path, monkeypatch):
-        """Every engine behind the cut was noted as crashed, and sound requests as suspects."""
+    def test_no_server_counts_as_crashed(self, tmp_path, monkeypatch):
+        """Partitioned engines were recorded as crashed, and harmless requests as suspects."""
 
         async def run():
             firewall = Firewall(monkeypatch)
@@ -65,8 +65,8 @@
 
         trio.run(run)
 
-    def test_server_that_crashed_in_the_cut_is_known_after_it(self, tmp_path, monkeypatch):
-        """A deadly request reaches one engine, and then the cut comes: the evidence is not lost."""
+    def test_crash_before_partition_is_detected_afterwards(self, tmp_path, monkeypatch):
+        """A request crashes an engine just before a partition; the evidence must not be lost."""
 
         async def run():
             firewall = Firewall(monkeypatch)
@@ -88,10 +88,10 @@
 
 
 class TestNothingHeard:
-    """The VM stands still while it looks at a server, and hears not even the refusal."""
+    """The VM is paused while it probes a server, and does not even receive the refusal."""
 
-    def test_crash_is_found_all_the_same(self, tmp_path, monkeypatch):
-        """One silent look was the last word: a deadly request was then sent on without end."""
+    def test_crash_is_detected_by_later_probe(self, tmp_path, monkeypatch):
+        """One timed-out probe was final, so a deadly request was forwarded without end."""
 
         async def run():
             firewall = Firewall(monkeypatch)
--- a/tests/platform/test_rate_limits.py
+++ b/tests/platform/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Backend servers that name a rate limit, and several VMs that send to them."""
+"""Tests for backend servers with a rate limit to which several VMs send."""
 
 from functools import partial
 
@@ -15,13 +15,13 @@
 
 
 def retry_after(answer: Answer) -> float:
-    """Return when a refusal says to come back, in seconds."""
+    """Return the retry delay that a refusal asks for, in seconds."""
     lines = answer.raw.decode().split("\r\n")
     return next(float(line.split(": ")[1]) for line in lines if line.startswith("Retry-After"))
 
 
 async def press(running: Fleet, path: str, seconds: float = SECONDS, **headers) -> list:
-    """Let clients ask each VM ten times a second; return their answers."""
+    """Send ten requests a second to each VM; return the responses."""
     answers = []
 
     async def ask(site, request_id: str) -> None:
@@ -36,11 +36,11 @@
 
 
 class TestSumOverVms:
-    """A server gets no more than it has named from all VMs together."""
+    """All VMs together send a server no more than its rate limit."""
 
     @pytest.mark.parametrize("rate", [0.5, 1.0, 4.0])
     def test_engines(self, rate, tmp_path):
-        """Streams went on to an engine that had named a limit as before."""
+        """An engine's rate limit had no effect on the streams sent to it."""
 
         async def run():
             async with fleet(tmp_path, 3) as running:
@@ -53,7 +53,7 @@
         trio.run(run)
 
     def test_plain_servers(self, tmp_path):
-        """Calls went on to a plain server that had named a limit as before."""
+        """A plain server's rate limit had no effect on the calls sent to it."""
 
         async def run():
             async with fleet(tmp_path, 3) as running:
@@ -70,7 +70,7 @@
         [("engines", "/stream/x", PROMPT, Events()), ("plain", "/again/x", {}, Whole())],
     )
     def test_whole_service(self, service, path, more, behaviour, tmp_path):
-        """A limited service serves what its limits allow; the rest is refused at once."""
+        """A limited service serves as much as its limits allow; the rest is refused at once."""
 
         async def run():
             async with fleet(tmp_path, 3) as running:
@@ -86,8 +86,8 @@
 
         trio.run(run)
 
-    def test_limiter_is_cut_off(self, tmp_path):
-        """The VM that grants permits was cut off; the others sent without any."""
+    def test_limiter_is_partitioned(self, tmp_path):
+        """The VM that grants permits was partitioned; the others sent without permits."""
 
         async def run():
             async with fleet(tmp_path, 3) as running:
@@ -106,11 +106,11 @@
         trio.run(run)
 
 
-class TestEnd:
-    """A limit holds for as long as the server says so."""
+class TestLifting:
+    """A rate limit holds only while the server's responses carry it."""
 
-    def test_server_names_none_any_more(self, tmp_path):
-        """A server whose need was over was held to its limit for good."""
+    def test_server_lifts_limit(self, tmp_path):
+        """A server that had lifted its rate limit was limited forever."""
 
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]) as (one,):
@@ -128,8 +128,8 @@
         trio.run(run)
 
     @pytest.mark.parametrize("value", [b"", b"nan", b"-3", b"inf", b"soon", b"9" * 300])
-    def test_value_that_means_nothing(self, value, tmp_path):
-        """A spoilt header ended a connection, or left its server out for good."""
+    def test_invalid_value(self, value, tmp_path):
+        """An invalid header closed the connection, or excluded its server forever."""
 
         async def run():
             script = [Whole(headers=(b"Server-Limit: " + value,))]
--- a/tests/platform/test_restarted_servers.py
+++ b/tests/platform/test_restarted_servers.py
@@ -1,4 +1,4 @@
-"""Servers that start again under their name, with requests open at the former process."""
+"""Tests for servers that restart under the same name with requests open at the old process."""
 
 import trio
 
@@ -10,18 +10,18 @@
 from tests.platform.standin_server import Events, Silent, Whole
 from tests.platform.test_streams import PROMPT, data_of, event
 
-# Far below the time after which a silent server is given up, and far above what a test needs.
+# Well below the timeout for an unresponsive server, and well above what the tests need.
 SOON_SECONDS = 0.7
 
 
 class TestOpenRequests:
-    """What is open at the former process ends when the new one makes itself known."""
+    """Requests open at the old process end when the new one announces itself."""
 
-    def test_stream_goes_on_at_another_server(self, tmp_path):
-        """A server goes dark in the middle of a stream and comes back under its name.
+    def test_stream_continues_at_another_server(self, tmp_path):
+        """A server stops responding in the middle of a stream and restarts under the same name.
 
-        The caller's stream would stand still until the silence is long enough, 1.4 s; the new
-        process knows nothing of it, so it goes on elsewhere at once.
+        The client's stream stalled until the silence timeout of 1.4 s. The new process does not
+        know the stream, so it must continue at another server immediately.
         """
 
         async def run():
@@ -43,11 +43,11 @@
 
         trio.run(run)
 
-    def test_call_that_may_not_be_repeated_ends_in_doubt(self, tmp_path):
-        """A server crashes with a dispatch order open and comes back under its name.
+    def test_non_idempotent_call_ends_with_unknown_outcome(self, tmp_path):
+        """A server crashes with a non-idempotent request open and restarts under the same name.
 
-        Nobody knows whether the order has run: the caller is told so at once, and the new
-        process does not get it.
+        Whether the request has run is unknown. The client must be told so immediately, and the new
+        process must not receive the request.
         """
 
         async def run():
@@ -65,7 +65,7 @@
 
         trio.run(run)
 
-    def test_late_word_of_the_former_process_ends_nothing(self, tmp_path):
+    def test_late_announcement_of_old_process_is_ignored(self, tmp_path):
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
@@ -81,11 +81,11 @@
         trio.run(run)
 
 
-class TestBeliefs:
-    """What was known of the former process says nothing of the new one."""
+class TestServerState:
+    """State recorded for the old process does not apply to the new one."""
 
-    def test_standing_books_and_connections_begin_anew(self, tmp_path):
-        """A server that failed is set aside, restarts healthy, and is still passed over."""
+    def test_health_load_and_connections_are_reset(self, tmp_path):
+        """A failed server was still excluded after it had restarted in good health."""
 
         async def run():
             async with (
@@ -108,10 +108,10 @@
 
         trio.run(run)
 
-    def test_nothing_is_sent_under_a_reservation_of_before(self, tmp_path):
-        """An engine restarts while memory is held there for a prompt.
+    def test_reservation_of_old_process_is_not_renewed_or_released(self, tmp_path):
+        """An engine restarts while it has memory reserved for a prompt.
 
-        A renewal that reached the new process would take memory that nobody uses or gives back.
+        A renewal sent to the new process would reserve memory that is never used or released.
         """
 
         async def run():
--- a/tests/platform/test_restrictions.py
+++ b/tests/platform/test_restrictions.py
@@ -1,4 +1,4 @@
-"""What the adapter reads of the things that servers ask for."""
+"""Tests for decoding the restrictions in server responses."""
 
 import pytest
 
@@ -7,18 +7,18 @@
 
 
 def restrictions(*headers: tuple[bytes, bytes], status: int = 200):
-    """Return what an answer with these headers asks for."""
+    """Return the restrictions in a response with these headers."""
     return PlatformWire().decode_answer(AnswerHead(status, list(headers), True)).restrictions
 
 
 class TestBackOff:
-    """A refusal may say for how many seconds its server wants nothing more of this VM."""
+    """A refusal may state for how many seconds its server accepts no requests of this VM."""
 
     @pytest.mark.parametrize("status", [503, 429])
     def test_seconds(self, status):
         assert restrictions((b"Retry-After", b"1.5"), status=status).back_off_ms == 1_500
 
-    def test_other_answers_ask_for_none(self):
+    def test_other_statuses_are_ignored(self):
         assert restrictions((b"Retry-After", b"1"), status=200).back_off_ms is None
 
     @pytest.mark.parametrize(
@@ -31,7 +31,7 @@
 
 
 class TestLeaving:
-    """A server that leaves says so in all its answers."""
+    """A leaving server says so in all its responses."""
 
     @pytest.mark.parametrize(("value", "leaving"), [(b"1", True), (b"0", False), (b"", False)])
     def test_value(self, value, leaving):
@@ -39,7 +39,7 @@
 
 
 class TestRateLimit:
-    """A limit is a decimal number; anything else changes nothing."""
+    """A rate limit is a decimal number; any other value is ignored."""
 
     @pytest.mark.parametrize(
         ("value", "rate"), [(b"1", 1.0), (b"0.5", 0.5), (b"12.25", 12.25), (b"0", 0.0)]
@@ -56,6 +56,6 @@
         assert found.rate_limit is None
         assert found.unreadable == ("rate_limit",)
 
-    def test_none_named(self):
+    def test_no_header(self):
         assert restrictions().rate_limit is None
         assert not restrictions().unreadable
--- a/tests/platform/test_starting.py
+++ b/tests/platform/test_starting.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway that has just started."""
+"""Tests for a gateway that has just started."""
 
 import trio
 
@@ -7,12 +7,12 @@
 
 
 class TestStarting:
-    """All VMs were lost at once; callers have one retry, and use it when the first VM is back."""
+    """After the loss of all VMs, clients spend their only retry on the first VM to return."""
 
-    def test_a_request_waits_for_the_first_configuration(self, tmp_path):
-        """A caller's retry meets a VM that has run for 0.1 s and knows no route yet.
+    def test_request_waits_for_first_configuration(self, tmp_path):
+        """A client's retry reaches a VM that started 0.1 s ago and has no routes yet.
 
-        The configuration comes 0.2 s later.  A refusal would use up the caller's only retry,
+        The configuration arrives 0.2 s later. A refusal would use up the client's only retry,
         although the request could be served a moment later.
         """
 
@@ -37,8 +37,8 @@
 
         trio.run(scenario)
 
-    def test_a_vm_that_stays_without_one_refuses(self, tmp_path):
-        """No control VM answers after a start: the wait is bounded, and later nobody waits."""
+    def test_vm_without_configuration_refuses(self, tmp_path):
+        """If no control VM answers, the wait is bounded, and later requests don't wait."""
 
         async def scenario():
             async with gateway_site(tmp_path, configured=False) as site:
@@ -52,7 +52,7 @@
 
         trio.run(scenario)
 
-    def test_a_caller_that_goes_is_let_go(self, tmp_path):
+    def test_disconnected_client_is_dropped(self, tmp_path):
         async def scenario():
             async with gateway_site(tmp_path, configured=False) as site:
                 site.gateway.started_at = trio.current_time() + 60
