--- a/siskinspoke/gateway/cells.py
+++ b/siskinspoke/gateway/cells.py
@@ -19,37 +19,37 @@
 
     def __init__(
         self,
-        me: EntryPeer,
+        own_vm: EntryPeer,
         directory: Directory,
         peers: Callable[[], list[EntryPeer]],
-        changes: Callable[[], int],
+        change_count: Callable[[], int],
         log: DecisionLog,
     ):
-        self._me = me
+        self._own_vm = own_vm
         self._directory = directory
         self._peers = peers
-        self._changes = changes
+        self._change_count = change_count
         self._log = log
-        self._cells = Cells({me.host: me.failure_domain}, ())
+        self._cells = Cells({own_vm.host: own_vm.failure_domain}, ())
         self._ports: dict[str, int] = {}
-        self._seen: tuple[int, int] | None = None
+        self._last_changes: tuple[int, int] | None = None
 
     def _current(self) -> Cells:
-        seen = (self._directory.changes, self._changes())
-        if seen != self._seen:
-            self._seen = seen
+        changes = (self._directory.changes, self._change_count())
+        if changes != self._last_changes:
+            self._last_changes = changes
             peers = self._peers()
             self._ports = {peer.host: peer.port for peer in peers}
             vms = {peer.host: peer.failure_domain for peer in peers}
-            vms[self._me.host] = self._me.failure_domain
-            before = (self._cells.of(self._me.host), len(self._cells.all))
-            self._cells = Cells(vms, _servers(self._directory))
-            self._note_change(before, len(vms))
+            vms[self._own_vm.host] = self._own_vm.failure_domain
+            before = (self._cells.of(self._own_vm.host), len(self._cells.all))
+            self._cells = Cells(vms, _current_servers(self._directory))
+            self._log_change(before, len(vms))
         return self._cells
 
-    def _note_change(self, before: tuple[Cell | None, int], vms: int) -> None:
+    def _log_change(self, before: tuple[Cell | None, int], vms: int) -> None:
         """Log a change of this VM's cell; its knowledge of engine load starts over with it."""
-        cell, cells = self._cells.of(self._me.host), len(self._cells.all)
+        cell, cells = self._cells.of(self._own_vm.host), len(self._cells.all)
         if (cell, cells) != before:
             neighbours = len(self._cells.hosts(cell)) - 1
             self._log.note(
@@ -61,39 +61,41 @@
             )
 
     @property
-    def mine(self) -> Cell:
+    def own_cell(self) -> Cell:
         """Return the ID of this VM's cell."""
-        return self._current().of(self._me.host)
+        return self._current().of(self._own_vm.host)
 
     @property
     def others(self) -> list[Cell]:
         """Return the IDs of the other cells, those in this failure domain first."""
-        mine = self.mine
-        found = [cell for cell in self._current().all if cell != mine]
-        return sorted(found, key=lambda cell: (cell.domain != mine.domain, cell))
+        own_cell = self.own_cell
+        cells = [cell for cell in self._current().all if cell != own_cell]
+        return sorted(cells, key=lambda cell: (cell.domain != own_cell.domain, cell))
 
     def addresses(self, cell: Cell) -> list[Address]:
         """Return the peer addresses of the VMs in a cell, excluding this VM."""
         hosts = self._current().hosts(cell)
-        return [(host, self._ports[host]) for host in hosts if host != self._me.host]
+        return [(host, self._ports[host]) for host in hosts if host != self._own_vm.host]
 
     def is_neighbour(self, host: str) -> bool:
         """Return whether another VM is in this VM's cell."""
         cells = self._current()
-        return cells.of(host) == cells.of(self._me.host)
+        return cells.of(host) == cells.of(self._own_vm.host)
 
     def servers(self, service: str) -> set[str]:
         """Return the servers of a service that belong to this VM's cell."""
-        return self._current().servers(self.mine, service)
+        return self._current().servers(self.own_cell, service)
 
-    def watching(self, servers: Iterable[str]) -> set[Cell]:
+    def cells_tracking(self, servers: Iterable[str]) -> set[Cell]:
         """Return the cells that track the load of any of these servers."""
         return self._current().watching(servers)
 
 
-def _servers(directory: Directory) -> list[Server]:
+def _current_servers(directory: Directory) -> list[Server]:
     """Return the servers that have not left; a temporarily unresponsive server keeps its cell."""
-    said = [record.announcement for record in directory.all_known()]
+    announcements = [record.announcement for record in directory.all_known()]
     return [
-        Server(item.server, item.service, item.failure_domain) for item in said if not item.leaving
+        Server(item.server, item.service, item.failure_domain)
+        for item in announcements
+        if not item.leaving
     ]
--- a/siskinspoke/gateway/context.py
+++ b/siskinspoke/gateway/context.py
@@ -31,7 +31,7 @@
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
 from siskinspoke.gateway.pool import Pool
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.gateway.wire import Call, Wire
 
 # How long after the stop signal a VM still accepts requests. The load balancer stops sending new
@@ -64,7 +64,7 @@
     looks: Looks
     connects: ConnectTimer
     cells: CellView
-    questions: Questions
+    questions: Queries
     permits: Permits
     peers: Peers
     crashes: CrashWatch
@@ -79,7 +79,7 @@
     draining_since: float | None = None
     open_requests: int = 0
     idle: set[trio.CancelScope] = field(default_factory=set)
-    crash_looks: dict[tuple[str, int], trio.Event] = field(default_factory=dict)
+    crash_probes: dict[tuple[str, int], trio.Event] = field(default_factory=dict)
     configured: trio.Event = field(default_factory=trio.Event)
     started_at: float = -math.inf
 
@@ -100,8 +100,8 @@
         """
         if self.draining_since is None:
             return True
-        since = now_ms() - self.draining_since
-        return since < (STREAMS_MS if kind is CallKind.STREAM else PLAIN_MS)
+        elapsed_ms = now_ms() - self.draining_since
+        return elapsed_ms < (STREAMS_MS if kind is CallKind.STREAM else PLAIN_MS)
 
     def stop_waiting(self) -> None:
         """Close idle client connections so that their clients reconnect to another VM."""
@@ -119,7 +119,7 @@
         return self.placement.books
 
 
-class Tried(NamedTuple):
+class AttemptResult(NamedTuple):
     """One attempt of a request, as it appears in the request's log line."""
 
     server: str
@@ -137,7 +137,7 @@
     arrived_ms: float
     version: int
     service: str = ""
-    tried: list[Tried] = field(default_factory=list)
+    tried: list[AttemptResult] = field(default_factory=list)
     # Chosen servers that became unavailable (back-off, rate limit or leaving) before the send.
     held: list[str] = field(default_factory=list)
     first_ms: float | None = None
@@ -157,8 +157,12 @@
     @property
     def deadline_ms(self) -> float:
         """Return the time after arrival by which the response must be complete."""
-        asked = self.call.deadline_ms
-        return self.route.timeout_ms if asked is None else min(asked, self.route.timeout_ms)
+        requested_ms = self.call.deadline_ms
+        return (
+            self.route.timeout_ms
+            if requested_ms is None
+            else min(requested_ms, self.route.timeout_ms)
+        )
 
     def left_ms(self, now: float) -> float:
         """Return the time left until the deadline."""
@@ -166,7 +170,7 @@
 
     def note(self, server: str, outcome: str, now: float) -> None:
         """Record the outcome of an attempt."""
-        self.tried.append(Tried(server, outcome, round(now - self.arrived_ms, 1)))
+        self.tried.append(AttemptResult(server, outcome, round(now - self.arrived_ms, 1)))
 
     @cached_property
     def subject(self) -> Subject:
--- a/siskinspoke/gateway/crashes.py
+++ b/siskinspoke/gateway/crashes.py
@@ -20,10 +20,10 @@
 
 # A server may still crash from an attempt that was moved away from it, so it is probed after this
 # delay.
-LOOK_LATER_SECONDS = 0.4
+PROBE_DELAY_SECONDS = 0.4
 
 
-class Attempted:
+class TrackedAttempt:
     """One attempt, recorded so that a later crash can be attributed to the requests then open."""
 
     def __init__(self, run: Run):
@@ -32,14 +32,14 @@
 
 
 @contextmanager
-def noted(gateway: Gateway, request: Request, *servers: ServerRecord) -> Iterator[Attempted]:
+def noted(gateway: Gateway, request: Request, *servers: ServerRecord) -> Iterator[TrackedAttempt]:
     """Record an attempt at some servers while the context is open; the caller sets its ``end``."""
     starts = [server.start for server in servers]
-    attempted = Attempted(gateway.crashes.began(request.subject, starts, now_ms()))
+    attempt = TrackedAttempt(gateway.crashes.began(request.subject, starts, now_ms()))
     try:
-        yield attempted
+        yield attempt
     finally:
-        gateway.crashes.ended(attempted.run, attempted.end, now_ms())
+        gateway.crashes.ended(attempt.run, attempt.end, now_ms())
 
 
 async def quarantine_of(gateway: Gateway, request: Request) -> Quarantined | None:
@@ -79,92 +79,96 @@
     """
     if not (outcome.closed or outcome.gone):
         if not gateway.crashes.ledger.is_empty:
-            gateway.chores.start_soon(_look_later, gateway, server)
+            gateway.chores.start_soon(_probe_later, gateway, server)
         return
-    looked = gateway.crash_looks.get(server.start)
-    if looked is None:
+    done = gateway.crash_probes.get(server.start)
+    if done is None:
         # Runs in the background: a waiter may be cancelled while others still need the result.
-        looked = gateway.crash_looks[server.start] = trio.Event()
-        gateway.chores.start_soon(_look_once, gateway, server, now_ms())
-    await looked.wait()
+        done = gateway.crash_probes[server.start] = trio.Event()
+        gateway.chores.start_soon(_probe_once, gateway, server, now_ms())
+    await done.wait()
 
 
-async def _look_once(gateway: Gateway, server: ServerRecord, at: float) -> None:
+async def _probe_once(gateway: Gateway, server: ServerRecord, at: float) -> None:
     """Check for a crash once for all attempts that broke off at the same server."""
     try:
-        await _look_for_crash(gateway, server, at)
+        await _probe_for_crash(gateway, server, at)
     finally:
-        gateway.crash_looks.pop(server.start).set()
+        gateway.crash_probes.pop(server.start).set()
 
 
-async def _look_later(gateway: Gateway, server: ServerRecord) -> None:
-    await trio.sleep(LOOK_LATER_SECONDS)
-    await _look_for_crash(gateway, server, now_ms())
+async def _probe_later(gateway: Gateway, server: ServerRecord) -> None:
+    await trio.sleep(PROBE_DELAY_SECONDS)
+    await _probe_for_crash(gateway, server, now_ms())
 
 
-async def _look_for_crash(gateway: Gateway, server: ServerRecord, at: float) -> None:
+async def _probe_for_crash(gateway: Gateway, server: ServerRecord, at: float) -> None:
     """Check for a crash; if the result is inconclusive, retry in the background."""
-    if not await _settle(gateway, server, at):
-        gateway.chores.start_soon(_ask_again, gateway, server, at)
+    if not await _detect_crash(gateway, server, at):
+        gateway.chores.start_soon(_retry_probe, gateway, server, at)
 
 
-async def _ask_again(gateway: Gateway, server: ServerRecord, at: float) -> None:
+async def _retry_probe(gateway: Gateway, server: ServerRecord, at: float) -> None:
     for _ in range(ASK_AGAIN):
         await trio.sleep(ASK_AGAIN_SECONDS)
-        if await _settle(gateway, server, at):
+        if await _detect_crash(gateway, server, at):
             return
 
 
-async def _settle(gateway: Gateway, server: ServerRecord, at: float) -> bool:
+async def _detect_crash(gateway: Gateway, server: ServerRecord, at: float) -> bool:
     """Determine whether a server has crashed and record it; return whether that is conclusive.
 
     The server has not crashed if it left cleanly or can be reached. The result is inconclusive if
     its whole failure domain refuses connections, or if the probe times out, since this VM itself
     may have been paused.
     """
-    said = server.announcement
-    if gateway.directory.has_left(said.server) or gateway.crashes.has_crashed(server.start):
+    announcement = server.announcement
+    if gateway.directory.has_left(announcement.server) or gateway.crashes.has_crashed(server.start):
         return True
     if not gateway.directory.superseded(*server.start):
         match await look_at(gateway, server):
             case None:
                 return True
             case NoConnection.SILENT:
-                return gateway.domains.is_cut(said.failure_domain, now_ms())
+                return gateway.domains.is_cut(announcement.failure_domain, now_ms())
         if await _domain_refuses(gateway, server):
-            _note_refusing_domain(gateway, server)
+            _record_refusing_domain(gateway, server)
             return False
     now = now_ms()
-    servers = len(gateway.directory.believed(said.service, now))
-    gateway.crashes.crashed(server.start, said.service, servers, at, now)
+    servers = len(gateway.directory.believed(announcement.service, now))
+    gateway.crashes.crashed(server.start, announcement.service, servers, at, now)
     return True
 
 
 async def _domain_refuses(gateway: Gateway, server: ServerRecord) -> bool:
     """Return whether other servers of the failure domain are unreachable as well."""
-    said, live = server.announcement, gateway.directory.live(now_ms())
+    announcement, live = server.announcement, gateway.directory.live(now_ms())
     has_crashed = gateway.crashes.has_crashed
-    asked = witnesses_of(said.server, said.failure_domain, live, has_crashed, gateway.rng)
+    witnesses = witnesses_of(
+        announcement.server, announcement.failure_domain, live, has_crashed, gateway.rng
+    )
     reached: list[bool] = []
 
-    async def ask(record: ServerRecord) -> None:
+    async def probe(record: ServerRecord) -> None:
         reached.append(await look_at(gateway, record) is None)
 
     async with trio.open_nursery() as nursery:
-        for record in asked:
-            nursery.start_soon(ask, record)
+        for record in witnesses:
+            nursery.start_soon(probe, record)
     return speaks_for_cut(reached)
 
 
-def _note_refusing_domain(gateway: Gateway, server: ServerRecord) -> None:
+def _record_refusing_domain(gateway: Gateway, server: ServerRecord) -> None:
     """Stop sending requests to a domain that refuses as a whole, until it is reachable again."""
-    said, now = server.announcement, now_ms()
+    announcement, now = server.announcement, now_ms()
     gateway.counters.count("crash.doubted")
     gateway.log.note(
         "domain.refuses",
-        domain=said.failure_domain,
-        server=said.server,
-        start=said.incarnation,
+        domain=announcement.failure_domain,
+        server=announcement.server,
+        start=announcement.incarnation,
     )
-    if gateway.domains.refused(said.failure_domain, now):
-        gateway.log.note("domain.cut", domain=said.failure_domain, server=said.server)
+    if gateway.domains.refused(announcement.failure_domain, now):
+        gateway.log.note(
+            "domain.cut", domain=announcement.failure_domain, server=announcement.server
+        )
--- a/siskinspoke/gateway/daemon.py
+++ b/siskinspoke/gateway/daemon.py
@@ -28,15 +28,15 @@
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.clients import ClientServer
 from siskinspoke.gateway.context import Gateway, now_ms
-from siskinspoke.gateway.lives import hear
+from siskinspoke.gateway.lives import handle_announcement
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
 from siskinspoke.gateway.placing import offer
 from siskinspoke.gateway.pool import Pool
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.gateway.reaching import hear_lost, look_again_forever, look_forever
-from siskinspoke.gateway.reports import ask_forever, try_cut_domains_forever
-from siskinspoke.gateway.restrictions import hear_rate_limit
+from siskinspoke.gateway.reports import poll_forever, probe_unreachable_domains_forever
+from siskinspoke.gateway.restrictions import apply_peer_rate_limit
 from siskinspoke.gateway.streams import think_of_streams
 from siskinspoke.gateway.wire import Wire
 from siskinspoke.protocol.announcements import Announcement
@@ -46,15 +46,15 @@
 from siskinspoke.transport.pages import Page, Pages, metrics_pages, serve_pages
 
 # Announcements arrive every 1.2 s; a server's lease tolerates the loss of four.
-LEASES_PER_ANNOUNCEMENT = 4
-CHORES_SECONDS = 1.0
-RELOAD_SECONDS = 1.0
+ANNOUNCEMENTS_PER_LEASE = 4
+MAINTENANCE_INTERVAL_SECONDS = 1.0
+RELOAD_INTERVAL_SECONDS = 1.0
 # The load balancer checks readiness once a second and removes a VM after two failed checks; after
 # this time no new clients arrive.
-BALANCER_SECONDS = 3.0
+BALANCER_REMOVAL_SECONDS = 3.0
 # Reserved at the end of the shutdown time, to send the responses that are cut off then.
-LAST_SECONDS = 0.4
-LOOK_SECONDS = 0.05
+SHUTDOWN_RESERVE_SECONDS = 0.4
+DRAIN_POLL_SECONDS = 0.05
 
 
 class GatewayDaemon:
@@ -62,22 +62,24 @@
 
     def __init__(self, read_settings: Callable[[], VmSettings], wire: Wire, log: DecisionLog):
         self._log = log
-        self._watch = SettingsWatch(read_settings, lambda seeds: self._feeds.set_seeds(seeds), log)
-        settings = self._watch.settings
+        self._settings_watch = SettingsWatch(
+            read_settings, lambda seeds: self._feeds.set_seeds(seeds), log
+        )
+        settings = self._settings_watch.settings
         counters = Counters()
         books = Books()
         domains = Domains()
         budget = CommonBudget(settings.retry_share, settings.retry_burst)
         listener = Listener(
             on_publication=self._on_publication,
-            on_news=self._on_news,
+            on_news=self._on_announcements,
             on_renewals=self._on_renewals,
             on_remembered=self._on_remembered,
             version=lambda: self.gateway.table.version if self.gateway.table else 0,
             on_crashes=self._on_crashes,
             own_crashes=lambda: self.gateway.crashes.own_news(now_ms()),
         )
-        directory = Directory(settings.announce_every_ms * LEASES_PER_ANNOUNCEMENT)
+        directory = Directory(settings.announce_every_ms * ANNOUNCEMENTS_PER_LEASE)
         self._feeds = FeedSet(
             Me(settings.name, settings.host, settings.peer_port, settings.failure_domain),
             settings.seed_hosts,
@@ -94,7 +96,7 @@
             lambda: self._feeds.peer_changes,
             log,
         )
-        questions = Questions(
+        questions = Queries(
             settings.host,
             settings.peer_port,
             lambda question: offer(self.gateway, question),
@@ -141,9 +143,9 @@
                 self._on_crashes,
                 self._feeds.hear_control,
                 lambda work: think_of_streams(self.gateway, work),
-                lambda news: hear_rate_limit(self.gateway, news),
+                lambda news: apply_peer_rate_limit(self.gateway, news),
             ),
-            crashes=CrashWatch(self._tell_crashes, counters, log),
+            crashes=CrashWatch(self._send_crashes, counters, log),
             counters=counters,
             latencies=Latencies(),
             log=log,
@@ -155,8 +157,8 @@
         feeds, cells = self._feeds, self.gateway.cells
         if 2 * feeds.connected > len(feeds.controls):
             return True
-        vms = 1 + len(cells.addresses(cells.mine))
-        return 2 * (1 + self.gateway.peers.heard(now_ms())) > vms
+        vms = 1 + len(cells.addresses(cells.own_cell))
+        return 2 * (1 + self.gateway.peers.count_heard(now_ms())) > vms
 
     def _on_publication(self, version: int, document: dict) -> None:
         """Apply a newer configuration; the version never decreases.
@@ -166,18 +168,18 @@
         gateway = self.gateway
         if gateway.table is not None and version <= gateway.table.version:
             return
-        read = gateway.wire.table_from(document)
-        if read.is_error():
+        decoded = gateway.wire.table_from(document)
+        if decoded.is_error():
             gateway.counters.count("configuration.refused")
-            self._log.note("configuration.refused", version=version, reason=read.error.message)
+            self._log.note("configuration.refused", version=version, reason=decoded.error.message)
             return
-        gateway.table = read.ok
+        gateway.table = decoded.ok
         gateway.configured.set()
-        self._log.note("configuration.in_force", version=version, routes=len(read.ok.routes))
+        self._log.note("configuration.in_force", version=version, routes=len(decoded.ok.routes))
 
-    def _on_news(self, announcements: list[Announcement]) -> None:
+    def _on_announcements(self, announcements: list[Announcement]) -> None:
         for announcement in announcements:
-            heard = hear(self.gateway, announcement)
+            heard = handle_announcement(self.gateway, announcement)
             if heard in (Heard.JOINED, Heard.LEFT):
                 self._log.note(
                     f"server.{heard.value}",
@@ -196,9 +198,9 @@
     def _on_crashes(self, news: CrashNews) -> None:
         self.gateway.crashes.hear(news, now_ms())
 
-    def _tell_crashes(self, news: CrashNews) -> None:
+    def _send_crashes(self, news: CrashNews) -> None:
         """Send crash updates to this cell's VMs directly, and to all others via control VMs."""
-        self.gateway.peers.crashes(news)
+        self.gateway.peers.send_crashes(news)
         self._feeds.tell_crashes(news)
 
     def _on_renewals(self, items: list[tuple[str, int, int]]) -> None:
@@ -211,12 +213,12 @@
         """Return whether new clients may connect: this VM is configured and not draining."""
         return self.gateway.table is not None and not self.gateway.draining
 
-    def _ready_pages(self) -> Pages:
+    def _readiness_pages(self) -> Pages:
         return {"/readyz": lambda: Page(200 if self._ready else 503)}
 
     async def run(self, metrics_port: int) -> None:
         """Serve until SIGTERM or SIGINT, then let open requests finish."""
-        gateway, settings = self.gateway, self._watch.settings
+        gateway, settings = self.gateway, self._settings_watch.settings
         gateway.started_at = trio.current_time()
         async with AsyncExitStack() as stack:
             stack.callback(gateway.pool.close)
@@ -228,9 +230,9 @@
             for task, *args in (
                 (gateway.peers.run, port),
                 (self._feeds.run,),
-                (self._chores_forever,),
-                (ask_forever, gateway, lambda: self._feeds.connected > 0),
-                (try_cut_domains_forever, gateway),
+                (self._maintain_forever,),
+                (poll_forever, gateway, lambda: self._feeds.connected > 0),
+                (probe_unreachable_domains_forever, gateway),
                 (look_forever, gateway),
                 (look_again_forever, gateway),
                 (self._reload_forever,),
@@ -239,7 +241,7 @@
             public = settings.public
             await nursery.start(ClientServer(gateway).serve, public.host, public.port)
             ready = settings.ready
-            await nursery.start(serve_pages, self._ready_pages(), ready.host, ready.port)
+            await nursery.start(serve_pages, self._readiness_pages(), ready.host, ready.port)
             if metrics_port:
                 pages = metrics_pages(gateway.counters, gateway.latencies)
                 await nursery.start(serve_pages, pages, settings.host, metrics_port)
@@ -256,22 +258,22 @@
         gateway.draining_since = now_ms()
         self._log.note("drain", open=gateway.open_requests)
         began = trio.current_time()
-        limit = self._watch.settings.shutdown_seconds - LAST_SECONDS
+        limit = self._settings_watch.settings.shutdown_seconds - SHUTDOWN_RESERVE_SECONDS
         with trio.move_on_after(limit):
-            await trio.sleep(BALANCER_SECONDS)
+            await trio.sleep(BALANCER_REMOVAL_SECONDS)
             gateway.stop_waiting()
             while gateway.open_requests:
-                await trio.sleep(LOOK_SECONDS)
-        took = trio.current_time() - began
-        self._log.note("stop", open=gateway.open_requests, took=round(took * 1000))
+                await trio.sleep(DRAIN_POLL_SECONDS)
+        elapsed = trio.current_time() - began
+        self._log.note("stop", open=gateway.open_requests, took=round(elapsed * 1000))
 
-    async def _chores_forever(self) -> None:
+    async def _maintain_forever(self) -> None:
         """Expire old state, and divide the common retry budget among the known VMs."""
         gateway = self.gateway
         while True:
-            await trio.sleep(CHORES_SECONDS)
+            await trio.sleep(MAINTENANCE_INTERVAL_SECONDS)
             now = now_ms()
-            gateway.budget.set_vms(1 + len(self._feeds.peers), 1 + gateway.peers.heard(now))
+            gateway.budget.set_vms(1 + len(self._feeds.peers), 1 + gateway.peers.count_heard(now))
             gateway.directory.forget(now)
             self._feeds.forget_peers()
             names = [item.announcement.server for item in gateway.directory.all_known()]
@@ -280,7 +282,7 @@
             gateway.rate_limits.forget(names)
             gateway.permits.tick(names)
             gateway.back_offs.forget(names, now)
-            gateway.peers.forget_silent(now)
+            gateway.peers.expire_peers(now)
             gateway.crashes.forget(now)
             gateway.pool.prune(now)
             gateway.counters.gauge("requests.open", gateway.open_requests)
@@ -293,6 +295,6 @@
         """Reload the settings on SIGHUP and periodically, as they may change without a signal."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
-                with trio.move_on_after(RELOAD_SECONDS):
+                with trio.move_on_after(RELOAD_INTERVAL_SECONDS):
                     await signals.__anext__()
-                self._watch.look()
+                self._settings_watch.look()
--- a/siskinspoke/gateway/lives.py
+++ b/siskinspoke/gateway/lives.py
@@ -10,7 +10,7 @@
 from siskinspoke.protocol.announcements import Announcement
 
 
-def hear(gateway: Gateway, announcement: Announcement) -> Heard:
+def handle_announcement(gateway: Gateway, announcement: Announcement) -> Heard:
     """Process an announcement, and reset the server's state here if it has restarted."""
     known = gateway.directory.latest(announcement.server)
     heard = gateway.directory.hear(announcement, now_ms())
@@ -23,8 +23,8 @@
         gateway.crashes.started_anew(known.start, service, servers, now)
     gateway.standing.started(server)
     gateway.books.started(server)
-    for words in (gateway.back_offs, gateway.rate_limits):
-        words.started(known.start, start_of(announcement), now_ms())
+    for restrictions in (gateway.back_offs, gateway.rate_limits):
+        restrictions.started(known.start, start_of(announcement), now_ms())
     ended = gateway.attempts.started(server, announcement.incarnation)
     gateway.counters.count("server.started_again")
     gateway.log.note(
--- a/siskinspoke/gateway/permits.py
+++ b/siskinspoke/gateway/permits.py
@@ -18,16 +18,16 @@
 )
 from siskinspoke.coordination.rate_limits import RateLimit, RateLimits
 from siskinspoke.core.counters import Counters
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PermitReply, PermitRequest
 
 # A limiter that did not answer is skipped for this long.
-SILENT_MS = 1_000.0
+SKIP_MS = 1_000.0
 # Two missing answers count as one outage of the limiter if they are no further apart than this.
-ONE_SILENCE_MS = 5_000.0
+OUTAGE_GAP_MS = 5_000.0
 # Delay before asking again when no limiter has answered.
-NOBODY_MS = 500.0
+NO_LIMITER_RETRY_MS = 500.0
 
 
 class Permit(NamedTuple):
@@ -60,26 +60,26 @@
 
     def __init__(
         self,
-        me: EntryPeer,
+        own_vm: EntryPeer,
         peers: Callable[[], list[EntryPeer]],
-        changes: Callable[[], int],
+        change_count: Callable[[], int],
         has_quorum: Callable[[], bool],
         heard_within: Callable[[str, float], bool],
         limits: RateLimits,
         counters: Counters,
     ):
-        self._me = me
+        self._own_vm = own_vm
         self._peers = peers
-        self._changes = changes
+        self._change_count = change_count
         self._has_quorum = has_quorum
         self._heard_within = heard_within
         self._limits = limits
         self._counters = counters
         self._limiter: Limiter | None = None
-        self._drawn: dict[str, tuple[str, ...]] = {}
-        self._drawn_at = -1
+        self._limiters_by_server: dict[str, tuple[str, ...]] = {}
+        self._limiters_version = -1
         self._silent_since: dict[str, float] = {}
-        self._passed_over: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     def _my_limiter(self) -> Limiter:
         if self._limiter is None:
@@ -91,33 +91,33 @@
         limiter = self._my_limiter()
         limiter.tick(_now_ms())
         limiter.forget(servers)
-        for server in self._drawn.keys() - set(servers):
-            del self._drawn[server]
+        for server in self._limiters_by_server.keys() - set(servers):
+            del self._limiters_by_server[server]
 
     def _limiters(self, server: str, domain: str) -> tuple[str, ...]:
-        changes = self._changes()
-        if changes != self._drawn_at:
-            self._drawn_at = changes
-            self._drawn.clear()
-        found = self._drawn.get(server)
-        if found is None:
+        changes = self._change_count()
+        if changes != self._limiters_version:
+            self._limiters_version = changes
+            self._limiters_by_server.clear()
+        limiters = self._limiters_by_server.get(server)
+        if limiters is None:
             vms = {peer.host: peer.failure_domain for peer in self._peers()}
-            vms[self._me.host] = self._me.failure_domain
-            found = self._drawn[server] = limiters_of(server, domain, vms)
-        return found
+            vms[self._own_vm.host] = self._own_vm.failure_domain
+            limiters = self._limiters_by_server[server] = limiters_of(server, domain, vms)
+        return limiters
 
-    def answer(self, question: PermitRequest) -> PermitReply:
+    def answer(self, request: PermitRequest) -> PermitReply:
         """Answer another VM as the limiter of a server."""
-        start = question.server, question.incarnation
-        self._limits.name(start, question.rate, _now_ms() - question.age_ms)
-        ask = Ask(question.host, start, question.rate, question.patience_ms, question.silent_ms)
-        verdict = self._decide(ask, question.domain)
+        start = request.server, request.incarnation
+        self._limits.name(start, request.rate, _now_ms() - request.age_ms)
+        ask = Ask(request.host, start, request.rate, request.patience_ms, request.silent_ms)
+        verdict = self._decide(ask, request.domain)
         self._counters.count(f"permit.{verdict.outcome.name.lower()}")
-        return PermitReply(question.number, *verdict)
+        return PermitReply(request.number, *verdict)
 
     def _decide(self, ask: Ask, domain: str) -> Verdict:
         limiters = self._limiters(ask.start[0], domain)
-        place = limiters.index(self._me.host) if self._me.host in limiters else None
+        place = limiters.index(self._own_vm.host) if self._own_vm.host in limiters else None
         before = limiters[:place] if place else ()
         if any(self._heard_within(host, TAKE_OVER_MS) for host in before):
             ask = ask._replace(silent_ms=0.0)
@@ -127,40 +127,42 @@
         return self._my_limiter().decide(ask, place, self._has_quorum(), _now_ms())
 
     async def obtain(
-        self, questions: Questions, server: ServerRecord, limit: RateLimit, patience_ms: float
+        self, questions: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> tuple[Permit | Denied, Found]:
         """Return a permit as soon as it is valid, or the time until which there is none."""
         asked_at = _now_ms()
-        found = await self._ask(questions, server, limit, patience_ms)
-        match found.verdict:
+        decision = await self._ask_limiters(questions, server, limit, patience_ms)
+        match decision.verdict:
             case Verdict(Outcome.GRANTED, wait_ms):
                 await trio.sleep(wait_ms / 1000)
                 until = asked_at + wait_ms + PERMIT_MS
                 if _now_ms() < until:
-                    return Permit(server.start, until), found
+                    return Permit(server.start, until), decision
                 # The permit has expired already, for example because this process was paused.
                 denied = Denied(_now_ms())
             case Verdict(Outcome.LATER, wait_ms):
                 denied = Denied(_now_ms() + wait_ms)
             case _:
-                denied = Denied(_now_ms() + NOBODY_MS)
+                denied = Denied(_now_ms() + NO_LIMITER_RETRY_MS)
         self._limits.close(server.start, denied.until)
-        return denied, found
+        return denied, decision
 
-    async def _ask(
-        self, questions: Questions, server: ServerRecord, limit: RateLimit, patience_ms: float
+    async def _ask_limiters(
+        self, questions: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> Found:
         """Return the verdict of the first limiter that answers and is able to decide."""
-        said = server.announcement
+        announcement = server.announcement
         silent_ms = math.inf
-        for host in self._limiters(said.server, said.failure_domain):
+        for host in self._limiters(announcement.server, announcement.failure_domain):
             silent = 0.0 if silent_ms == math.inf else silent_ms
-            ask = Ask(self._me.host, server.start, limit.rate, patience_ms, silent)
-            if host == self._me.host:
-                verdict = self._decide(ask, said.failure_domain)
+            ask = Ask(self._own_vm.host, server.start, limit.rate, patience_ms, silent)
+            if host == self._own_vm.host:
+                verdict = self._decide(ask, announcement.failure_domain)
             else:
                 age_ms = _now_ms() - limit.heard_at
-                verdict = await self._ask_other(questions, host, ask, said.failure_domain, age_ms)
+                verdict = await self._ask_vm(
+                    questions, host, ask, announcement.failure_domain, age_ms
+                )
             if verdict is None:
                 silent_ms = min(silent_ms, _now_ms() - self._silent_since[host])
             elif verdict.outcome is not Outcome.ELSEWHERE:
@@ -169,25 +171,25 @@
                 silent_ms = 0.0
         return Found(Verdict(Outcome.ELSEWHERE))
 
-    async def _ask_other(
-        self, questions: Questions, host: str, ask: Ask, domain: str, age_ms: float
+    async def _ask_vm(
+        self, questions: Queries, host: str, ask: Ask, domain: str, age_ms: float
     ) -> Verdict | None:
         """Return the verdict of another VM, or None if it does not answer."""
         now = _now_ms()
-        if self._passed_over.get(host, now) > now:
+        if self._skipped_until.get(host, now) > now:
             return None
-        question = PermitRequest(
+        request = PermitRequest(
             "", 0, *ask.start, domain, ask.rate, age_ms, ask.patience_ms, ask.silent_ms
         )
-        reply = await questions.ask_permit(question, host)
+        reply = await questions.request_permit(request, host)
         if reply is None:
-            if now - self._passed_over.get(host, -math.inf) > ONE_SILENCE_MS:
+            if now - self._skipped_until.get(host, -math.inf) > OUTAGE_GAP_MS:
                 self._silent_since[host] = now
-            self._passed_over[host] = _now_ms() + SILENT_MS
+            self._skipped_until[host] = _now_ms() + SKIP_MS
             self._counters.count("permit.unanswered")
             return None
         self._silent_since.pop(host, None)
-        self._passed_over.pop(host, None)
+        self._skipped_until.pop(host, None)
         return Verdict(reply.outcome, reply.wait_ms)
 
 
--- a/siskinspoke/gateway/pool.py
+++ b/siskinspoke/gateway/pool.py
@@ -4,11 +4,11 @@
 from siskinspoke.transport.http1 import ServerConnection
 
 # Assumed idle timeout of a server that does not announce one.
-IDLE_SECONDS = 3.0
+DEFAULT_IDLE_SECONDS = 3.0
 # Fraction of the server's idle timeout during which a connection is reused. The server's timeout
 # started when it sent its response, and a request needs time to arrive.
-IDLE_SHARE = 0.6
-MOST_IDLE = 16
+IDLE_TIMEOUT_FRACTION = 0.6
+MAX_IDLE_PER_SERVER = 16
 
 
 class Pool:
@@ -23,43 +23,43 @@
 
     def take(self, server: ServerRecord, now: float, fresh_ms: float) -> ServerConnection | None:
         """Return a connection used within ``fresh_ms`` that has no unread data, or None."""
-        kept = self._idle.get(server.start, [])
-        while kept:
-            connection = kept.pop()
+        idle = self._idle.get(server.start, [])
+        while idle:
+            connection = idle.pop()
             if self._is_usable(connection, now, fresh_ms):
                 return connection
             connection.cut()
         return None
 
     def _is_usable(self, connection: ServerConnection, now: float, fresh_ms: float) -> bool:
-        idle_seconds = connection.idle_seconds or IDLE_SECONDS
-        most = min(fresh_ms, idle_seconds * 1000 * IDLE_SHARE)
-        return now - connection.used_at < most and connection.is_quiet()
+        idle_seconds = connection.idle_seconds or DEFAULT_IDLE_SECONDS
+        max_idle_ms = min(fresh_ms, idle_seconds * 1000 * IDLE_TIMEOUT_FRACTION)
+        return now - connection.used_at < max_idle_ms and connection.is_quiet()
 
     def put(self, server: ServerRecord, connection: ServerConnection) -> None:
         """Return a connection to the pool after a complete response."""
-        kept = self._idle.setdefault(server.start, [])
-        if len(kept) >= MOST_IDLE:
-            kept.pop(0).cut()
-        kept.append(connection)
+        idle = self._idle.setdefault(server.start, [])
+        if len(idle) >= MAX_IDLE_PER_SERVER:
+            idle.pop(0).cut()
+        idle.append(connection)
 
     def prune(self, now: float) -> None:
         """Close connections that have been idle for too long."""
-        for start, kept in list(self._idle.items()):
-            still = []
-            for connection in kept:
+        for start, idle in list(self._idle.items()):
+            usable = []
+            for connection in idle:
                 if self._is_usable(connection, now, float("inf")):
-                    still.append(connection)
+                    usable.append(connection)
                 else:
                     connection.cut()
-            if still:
-                self._idle[start] = still
+            if usable:
+                self._idle[start] = usable
             else:
                 del self._idle[start]
 
     def close(self) -> None:
         """Close all pooled connections."""
-        for kept in self._idle.values():
-            for connection in kept:
+        for idle in self._idle.values():
+            for connection in idle:
                 connection.cut()
         self._idle.clear()
--- a/siskinspoke/gateway/reports.py
+++ b/siskinspoke/gateway/reports.py
@@ -18,69 +18,71 @@
 from siskinspoke.coordination.standing import Trouble
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.exchange import ask
-from siskinspoke.gateway.lives import hear
+from siskinspoke.gateway.lives import handle_announcement
 from siskinspoke.gateway.reaching import look, look_soon
 
-EVERY_SECONDS = 1.0
-ANSWER_SECONDS = 0.4
+POLL_INTERVAL_SECONDS = 1.0
+REPORT_TIMEOUT_SECONDS = 0.4
 # Up to this pace an engine counts as fast as configured; paces vary by a tenth.
-SOUND_PACE = 1.15
-FRESH_MS = 5_000.0
+MAX_HEALTHY_PACE = 1.15
+MAX_CONNECTION_IDLE_MS = 5_000.0
 # How often one server of each unreachable domain is probed to detect its recovery.
-TRY_CUT_SECONDS = 0.4
+UNREACHABLE_PROBE_SECONDS = 0.4
 # How often to check for unreachable domains while none is known.
-NO_CUT_SECONDS = 1.0
+UNREACHABLE_CHECK_SECONDS = 1.0
 
 
-def asks(me: str, peers: list[str], server: str) -> bool:
+def is_poller(own_host: str, peers: list[str], server: str) -> bool:
     """Return whether this VM is the one that polls a server."""
-    return me == max(
-        [me, *peers], key=lambda host: xxhash.xxh64_intdigest(f"{server}/{host}".encode())
+    return own_host == max(
+        [own_host, *peers], key=lambda host: xxhash.xxh64_intdigest(f"{server}/{host}".encode())
     )
 
 
-class Asked:
+class PollAssignment:
     """The servers that this VM polls, recomputed only when VMs or servers have changed.
 
     Recomputing costs one hash for each pair of a server and a VM: 5,300 a second with 68 VMs.
     """
 
-    def __init__(self, me: str):
-        self._me = me
-        self._drawn_for: tuple[frozenset[str], frozenset[str]] | None = None
-        self._mine: frozenset[str] = frozenset()
+    def __init__(self, own_host: str):
+        self._own_host = own_host
+        self._inputs: tuple[frozenset[str], frozenset[str]] | None = None
+        self._assigned: frozenset[str] = frozenset()
 
-    def of(self, peers: list[str], servers: Iterable[str]) -> frozenset[str]:
+    def update(self, peers: list[str], servers: Iterable[str]) -> frozenset[str]:
         """Return the servers that this VM polls."""
-        wanted = frozenset(peers), frozenset(servers)
-        if wanted != self._drawn_for:
-            self._drawn_for = wanted
-            self._mine = frozenset(name for name in wanted[1] if asks(self._me, peers, name))
-        return self._mine
+        inputs = frozenset(peers), frozenset(servers)
+        if inputs != self._inputs:
+            self._inputs = inputs
+            self._assigned = frozenset(
+                name for name in inputs[1] if is_poller(self._own_host, peers, name)
+            )
+        return self._assigned
 
 
-async def ask_forever(gateway: Gateway, hears_control: Callable[[], bool]) -> None:
+async def poll_forever(gateway: Gateway, hears_control: Callable[[], bool]) -> None:
     """Poll this VM's share of its cell's engines, forever.
 
     While no control VM is heard, idle engines are polled as well, since their responses are then
     the only evidence that they are healthy.
     """
-    asked = Asked(gateway.settings.host)
+    assignment = PollAssignment(gateway.settings.host)
     async with trio.open_nursery() as nursery:
         while True:
-            await trio.sleep(EVERY_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
             engines = {record.announcement.server: record for record in _engines(gateway)}
-            neighbours = [host for host, _ in gateway.cells.addresses(gateway.cells.mine)]
-            for name in asked.of(neighbours, engines):
-                if hears_control() and not is_worth_asking(gateway.books, name):
+            neighbours = [host for host, _ in gateway.cells.addresses(gateway.cells.own_cell)]
+            for name in assignment.update(neighbours, engines):
+                if hears_control() and not needs_polling(gateway.books, name):
                     continue
-                nursery.start_soon(_ask, gateway, engines[name])
+                nursery.start_soon(_poll, gateway, engines[name])
 
 
-def is_worth_asking(books: Books, engine: str) -> bool:
+def needs_polling(books: Books, engine: str) -> bool:
     """Return whether an engine has work, or was slow in its last report."""
-    book = books.engine(engine)
-    return bool(book.works) or book.pace > SOUND_PACE
+    load = books.engine(engine)
+    return bool(load.works) or load.pace > MAX_HEALTHY_PACE
 
 
 def _engines(gateway: Gateway) -> list[ServerRecord]:
@@ -92,36 +94,36 @@
     return gateway.directory.believed_among(names, now_ms())
 
 
-async def _ask(gateway: Gateway, record: ServerRecord) -> None:
+async def _poll(gateway: Gateway, record: ServerRecord) -> None:
     """Poll one engine, and pass its reported pace on to the peers."""
-    said = record.announcement
-    question = gateway.wire.report_request(said.server)
-    reply = await ask(gateway, record, question, b"", ANSWER_SECONDS, FRESH_MS)
+    announcement = record.announcement
+    request = gateway.wire.report_request(announcement.server)
+    reply = await ask(gateway, record, request, b"", REPORT_TIMEOUT_SECONDS, MAX_CONNECTION_IDLE_MS)
     report = None if reply is None else gateway.wire.decode_report(reply.status, reply.body)
     gateway.counters.count("report.failed" if report is None else "report.read")
     if report is not None:
-        incarnation = said.incarnation
+        incarnation = announcement.incarnation
         if report.started is not None and report.started > incarnation:
             # The engine's next announcement, which may be a second away, has a higher number.
             incarnation = report.started
-            hear(gateway, said._replace(incarnation=incarnation, seq=0))
-        gateway.directory.prove(said.server, incarnation, now_ms())
-        gateway.peers.paced(said.server, report.pace)
-    elif not gateway.domains.is_cut(said.failure_domain, now_ms()):
-        gateway.standing.failed(said.server, Trouble.SILENT, now_ms())
+            handle_announcement(gateway, announcement._replace(incarnation=incarnation, seq=0))
+        gateway.directory.prove(announcement.server, incarnation, now_ms())
+        gateway.peers.update_pace(announcement.server, report.pace)
+    elif not gateway.domains.is_cut(announcement.failure_domain, now_ms()):
+        gateway.standing.failed(announcement.server, Trouble.SILENT, now_ms())
         look_soon(gateway, record)
 
 
-async def try_cut_domains_forever(gateway: Gateway) -> None:
+async def probe_unreachable_domains_forever(gateway: Gateway) -> None:
     """Probe unreachable failure domains to detect when they are back."""
     while True:
-        cut = gateway.domains.cut_now(now_ms())
-        await trio.sleep(TRY_CUT_SECONDS if cut else NO_CUT_SECONDS)
+        unreachable = gateway.domains.cut_now(now_ms())
+        await trio.sleep(UNREACHABLE_PROBE_SECONDS if unreachable else UNREACHABLE_CHECK_SECONDS)
         for domain in gateway.domains.cut_now(now_ms()):
-            known = [
+            servers = [
                 record
                 for record in gateway.directory.live(now_ms())
                 if record.announcement.failure_domain == domain
             ]
-            if known:
-                await look(gateway, gateway.rng.choice(known))
+            if servers:
+                await look(gateway, gateway.rng.choice(servers))
--- a/siskinspoke/gateway/restrictions.py
+++ b/siskinspoke/gateway/restrictions.py
@@ -7,48 +7,48 @@
 
 # A response with this status or above may come from a component that stands in for a failed server,
 # so it does not lift any restriction.
-FAILED = 500
+MIN_FAILURE_STATUS = 500
 
 
 def hear_answer(
-    gateway: Gateway, request_id: str, server: ServerRecord, answer: Answer, sent_at: float
+    gateway: Gateway, request_id: str, server: ServerRecord, response: Answer, sent_at: float
 ) -> None:
     """Apply the restrictions of a response, unless it is a stale one for another request.
 
     ``request_id`` is empty for this VM's own status queries and orders.
     """
-    if answer.misdirected or answer.request_id not in (None, request_id):
+    if response.misdirected or response.request_id not in (None, request_id):
         return
-    for field in answer.restrictions.unreadable:
+    for field in response.restrictions.unreadable:
         gateway.counters.count(f"restrictions.unreadable.{field}")
-    _hear_rate_limit(gateway, request_id, server, answer, sent_at)
-    if answer.restrictions.back_off_ms is not None:
-        _hear_back_off(gateway, request_id, server, answer.restrictions.back_off_ms)
-    if answer.restrictions.leaving:
-        _hear_leaving(gateway, request_id, server)
+    _apply_rate_limit(gateway, request_id, server, response, sent_at)
+    if response.restrictions.back_off_ms is not None:
+        _apply_back_off(gateway, request_id, server, response.restrictions.back_off_ms)
+    if response.restrictions.leaving:
+        _apply_leaving(gateway, request_id, server)
 
 
-def _is_sound(answer: Answer) -> bool:
+def _lifts_omitted(answer: Answer) -> bool:
     """Return whether the absence of a restriction in a response means that it has been lifted."""
     return (
-        answer.status < FAILED
+        answer.status < MIN_FAILURE_STATUS
         and answer.request_id is not None
         and not answer.restrictions.unreadable
     )
 
 
-def _hear_rate_limit(
+def _apply_rate_limit(
     gateway: Gateway, request_id: str, server: ServerRecord, answer: Answer, sent_at: float
 ) -> None:
     rate, now = answer.restrictions.rate_limit, now_ms()
     known = gateway.rate_limits.find(server.start)
     if rate is not None:
-        is_news = gateway.rate_limits.name(server.start, rate, now)
-    elif _is_sound(answer):
-        is_news = gateway.rate_limits.lift(server.start, sent_at, now)
+        changed = gateway.rate_limits.name(server.start, rate, now)
+    elif _lifts_omitted(answer):
+        changed = gateway.rate_limits.lift(server.start, sent_at, now)
     else:
         return
-    if not is_news:
+    if not changed:
         return
     gateway.peers.rate_limit(server.start, rate, now)
     name, incarnation = server.start
@@ -64,7 +64,7 @@
     )
 
 
-def _hear_back_off(
+def _apply_back_off(
     gateway: Gateway, request_id: str, server: ServerRecord, back_off_ms: float
 ) -> None:
     name, incarnation = server.start
@@ -79,7 +79,7 @@
     )
 
 
-def _hear_leaving(gateway: Gateway, request_id: str, server: ServerRecord) -> None:
+def _apply_leaving(gateway: Gateway, request_id: str, server: ServerRecord) -> None:
     if gateway.directory.has_left(server.announcement.server):
         return
     name, incarnation = server.start
@@ -88,11 +88,11 @@
     gateway.log.note("server.leaving", server=name, start=incarnation, request=request_id)
 
 
-def hear_rate_limit(gateway: Gateway, news: RateLimitNews) -> None:
+def apply_peer_rate_limit(gateway: Gateway, update: RateLimitNews) -> None:
     """Apply a server's rate limit that was reported by another VM."""
-    start, at = (news.server, news.incarnation), now_ms() - news.age_ms
-    if news.rate is None:
-        is_news = gateway.rate_limits.lift(start, at, at)
+    start, at = (update.server, update.incarnation), now_ms() - update.age_ms
+    if update.rate is None:
+        changed = gateway.rate_limits.lift(start, at, at)
     else:
-        is_news = gateway.rate_limits.name(start, news.rate, at)
-    gateway.counters.count("rate_limit.told", is_news)
+        changed = gateway.rate_limits.name(start, update.rate, at)
+    gateway.counters.count("rate_limit.told", changed)
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -9,7 +9,7 @@
 # Extra latency of a server in another failure domain: two more network crossings.
 REMOTE_MS = 3.0
 # Fraction of its target latency that a request may wait for a permit.
-PERMIT_SHARE = 0.5
+PERMIT_WAIT_FRACTION = 0.5
 
 
 def choose_service(gateway: Gateway, request: Request) -> str:
@@ -32,8 +32,8 @@
 
 def cell_candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
     """Return the servers of this VM's cell that may get a request now."""
-    mine = gateway.cells.servers(service)
-    known = gateway.directory.believed_among(mine, now_ms())
+    servers = gateway.cells.servers(service)
+    known = gateway.directory.believed_among(servers, now_ms())
     return _usable(gateway, not_held(gateway, known), excluded)
 
 
@@ -68,14 +68,16 @@
     records = candidates(gateway, request.service, {server.announcement.server})
     if reachable_unlimited(gateway, records):
         return 0.0
-    return max(0.0, PERMIT_SHARE * request.route.target_ms - (now_ms() - request.arrived_ms))
+    return max(
+        0.0, PERMIT_WAIT_FRACTION * request.route.target_ms - (now_ms() - request.arrived_ms)
+    )
 
 
 def _usable(
     gateway: Gateway, records: list[ServerRecord], excluded: set[str]
 ) -> list[ServerRecord]:
     now = now_ms()
-    by_name = {record.announcement.server: record for record in _one_an_address(records)}
+    by_name = {record.announcement.server: record for record in _latest_per_address(records)}
     for name in excluded:
         by_name.pop(name, None)
     reached = {
@@ -88,7 +90,7 @@
     return [by_name[name] for name in usable]
 
 
-def _one_an_address(records: list[ServerRecord]) -> list[ServerRecord]:
+def _latest_per_address(records: list[ServerRecord]) -> list[ServerRecord]:
     """Keep only the most recently announced server at each address; the others are gone."""
     latest: dict[tuple[str, int], ServerRecord] = {}
     for record in records:
@@ -107,12 +109,12 @@
     """
     now = now_ms()
     names = [record.announcement.server for record in records]
-    usual = gateway.standing.usual_ms(names, now)
+    typical_ms = gateway.standing.usual_ms(names, now)
     compared = records if len(records) <= 4 else gateway.rng.sample(records, 2)
     shuffled = gateway.rng.sample(compared, len(compared))
     return min(
         shuffled,
-        key=lambda record: gateway.standing.load_ms(record.announcement.server, now, usual),
+        key=lambda record: gateway.standing.load_ms(record.announcement.server, now, typical_ms),
     )
 
 
@@ -149,12 +151,12 @@
     if isinstance(outcome, NotRun) and outcome.member is not None:
         faulty = outcome.member
     if isinstance(outcome, NotRun) and outcome.at_fault is not None:
-        faulty = _at(gateway, outcome.at_fault) or server
+        faulty = _server_at(gateway, outcome.at_fault) or server
         # This VM may well reach that server, so a probe from here would prove nothing.
         trouble = Trouble.SILENT
-    was_aside = gateway.standing.is_aside(faulty, now)
+    was_excluded = gateway.standing.is_aside(faulty, now)
     gateway.standing.failed(faulty, trouble, now)
-    if gateway.standing.is_aside(faulty, now) and not was_aside:
+    if gateway.standing.is_aside(faulty, now) and not was_excluded:
         gateway.log.note(
             "server.aside",
             server=faulty,
@@ -164,10 +166,10 @@
         )
 
 
-def _at(gateway: Gateway, address: str) -> str | None:
+def _server_at(gateway: Gateway, address: str) -> str | None:
     """Return the server at an address."""
     for record in gateway.directory.all_known():
-        said = record.announcement
-        if f"{said.host}:{said.port}" == address and not said.leaving:
-            return said.server
+        announcement = record.announcement
+        if f"{announcement.host}:{announcement.port}" == address and not announcement.leaving:
+            return announcement.server
     return None
--- a/siskinspoke/gateway/widening.py
+++ b/siskinspoke/gateway/widening.py
@@ -23,10 +23,10 @@
     gateway: Gateway, request: Request, job: Job, excluded: Iterable[str], found: Place | None
 ) -> Place | None:
     """Return the best place offered by other cells if it is better than ``found``, else None."""
-    asked = _to_ask(gateway)
+    addresses = _choose_vms(gateway)
     # ``Questions`` fills in the asking host and the number that matches offers to the query.
-    question = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
-    offers = await gateway.questions.ask(question, asked)
+    query = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
+    offers = await gateway.questions.request_offers(query, addresses)
     request.offers = len(offers)
     places = [place for offer in offers if (place := _place_of(gateway, offer)) is not None]
     best = best_offer(found, places)
@@ -36,16 +36,16 @@
     return best
 
 
-def _to_ask(gateway: Gateway) -> list[tuple[str, int]]:
+def _choose_vms(gateway: Gateway) -> list[tuple[str, int]]:
     """Return the VMs to query: one random VM of each of a few random cells."""
-    now, here = now_ms(), gateway.settings.failure_domain
+    now, own_domain = now_ms(), gateway.settings.failure_domain
     cells = [cell for cell in gateway.cells.others if not gateway.domains.is_cut(cell.domain, now)]
-    near = [cell for cell in cells if cell.domain == here]
-    far = [cell for cell in cells if cell.domain != here]
+    near = [cell for cell in cells if cell.domain == own_domain]
+    far = [cell for cell in cells if cell.domain != own_domain]
     chosen: list[Cell] = gateway.rng.sample(near, min(1, len(near)))
     chosen += gateway.rng.sample(far, min(ASKED_CELLS - len(chosen), len(far)))
-    known = [gateway.cells.addresses(cell) for cell in chosen]
-    return [gateway.rng.choice(addresses) for addresses in known if addresses]
+    addresses_by_cell = [gateway.cells.addresses(cell) for cell in chosen]
+    return [gateway.rng.choice(addresses) for addresses in addresses_by_cell if addresses]
 
 
 def _place_of(gateway: Gateway, offer: PlaceOffer) -> Place | None:
@@ -60,7 +60,12 @@
 
 
 def _is_usable(gateway: Gateway, record: ServerRecord) -> bool:
-    said, now = record.announcement, now_ms()
-    cut = gateway.domains.is_cut(said.failure_domain, now)
+    announcement, now = record.announcement, now_ms()
+    cut = gateway.domains.is_cut(announcement.failure_domain, now)
     is_held = held(gateway, record, now) is not None
-    return not (said.leaving or cut or is_held or gateway.standing.is_aside(said.server, now))
+    return not (
+        announcement.leaving
+        or cut
+        or is_held
+        or gateway.standing.is_aside(announcement.server, now)
+    )
--- a/siskinspoke/platform/calls.py
+++ b/siskinspoke/platform/calls.py
@@ -19,39 +19,39 @@
 from siskinspoke.transport.http1 import AnswerHead, Headers, RequestHead
 
 NEVER_RAN_STATUSES = frozenset({421})
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 # Statuses with which a server may say when it will accept requests from this VM again.
-TURNED_AWAY_STATUSES = frozenset({429, 503})
-MOST_RANK = 9
+BACK_OFF_STATUSES = frozenset({429, 503})
+LOWEST_PRIORITY = 9
 
 
-def _first(headers: Headers, name: bytes) -> str | None:
-    wanted = name.lower()
+def _first_header(headers: Headers, name: bytes) -> str | None:
+    lowered = name.lower()
     for found, value in headers:
-        if found.lower() == wanted:
+        if found.lower() == lowered:
             return value.decode("latin-1")
     return None
 
 
-def _number(text: str | None) -> float | None:
+def _parse_float(text: str | None) -> float | None:
     try:
         return float(text) if text is not None else None
     except ValueError:
         return None
 
 
-def _prompt(headers: Headers) -> Prompt | None:
-    text = _first(headers, names.TOKEN_COUNTS)
+def _parse_prompt(headers: Headers) -> Prompt | None:
+    text = _first_header(headers, names.TOKEN_COUNTS)
     if text is None:
         return None
     try:
-        tokens, most = text.split(",")
-        return Prompt(int(tokens), int(most))
+        tokens, max_tokens = text.split(",")
+        return Prompt(int(tokens), int(max_tokens))
     except ValueError:
         return None
 
 
-def _helper(helper: Helper) -> str:
+def _format_helper(helper: Helper) -> str:
     address = f"{helper.host}:{helper.port}"
     return f"{address}/{helper.reservation}" if helper.reservation else address
 
@@ -61,14 +61,14 @@
 
     def decode_call(self, head: RequestHead, body: bytes) -> Result[Call, Failure]:
         """Decode a client's request."""
-        call_id = _first(head.headers, names.REQUEST_ID)
+        call_id = _first_header(head.headers, names.REQUEST_ID)
         if call_id is None:
             return Error(Failure(ResultCode.INVALID_FIELD, "the request has no id"))
-        named_here = {
+        connection_options = {
             word.strip().lower().encode()
-            for word in (_first(head.headers, b"Connection") or "").split(",")
+            for word in (_first_header(head.headers, b"Connection") or "").split(",")
         }
-        dropped = names.ONE_CONNECTION | names.SET_HERE | named_here
+        dropped = names.HOP_BY_HOP | names.SYSTEM_ONLY | connection_options
         kept = [
             (name, value)
             for name, value in head.headers
@@ -80,13 +80,13 @@
                 id=call_id,
                 method=head.method,
                 target=head.target,
-                host=(_first(head.headers, b"Host") or "").lower(),
+                host=(_first_header(head.headers, b"Host") or "").lower(),
                 headers=kept,
                 body=body,
-                deadline_ms=_number(_first(head.headers, names.DEADLINE)),
-                key=_first(head.headers, names.API_KEY) or "",
-                prompt=_prompt(head.headers),
-                resume_after=_first(head.headers, names.LAST_EVENT),
+                deadline_ms=_parse_float(_first_header(head.headers, names.DEADLINE)),
+                key=_first_header(head.headers, names.API_KEY) or "",
+                prompt=_parse_prompt(head.headers),
+                resume_after=_first_header(head.headers, names.LAST_EVENT),
             )
         )
 
@@ -96,11 +96,11 @@
         headers = list(call.headers)
         headers.append((names.DEADLINE, b"%d" % max(1, int(dispatch.left_ms))))
         headers.append((names.EXPECTED_SERVER, dispatch.server.encode()))
-        headers.append((names.RANK, b"%d" % min(MOST_RANK, dispatch.rank)))
+        headers.append((names.PRIORITY, b"%d" % min(LOWEST_PRIORITY, dispatch.rank)))
         if dispatch.customer is not None:
             headers.append((names.CUSTOMER, dispatch.customer.encode()))
         if dispatch.helpers:
-            helpers = ",".join(_helper(item) for item in dispatch.helpers)
+            helpers = ",".join(_format_helper(item) for item in dispatch.helpers)
             headers.append((names.HELPERS, helpers.encode()))
         if dispatch.resume_after is not None:
             headers.append((names.LAST_EVENT, dispatch.resume_after.encode("latin-1")))
@@ -110,24 +110,24 @@
 
     def decode_answer(self, head: AnswerHead) -> Answer:
         """Decode the response head of a backend server."""
-        connection = (_first(head.headers, b"Connection") or "").lower()
+        connection = (_first_header(head.headers, b"Connection") or "").lower()
         kept = [
             (name, value)
             for name, value in head.headers
-            if name.lower() not in names.ONE_CONNECTION and name.lower() != b"content-length"
+            if name.lower() not in names.HOP_BY_HOP and name.lower() != b"content-length"
         ]
-        never_ran = _first(head.headers, names.NOT_RUN) is not None
+        never_ran = _first_header(head.headers, names.NOT_RUN) is not None
         return Answer(
             status=head.status,
             headers=kept,
-            request_id=_first(head.headers, names.REQUEST_ID),
+            request_id=_first_header(head.headers, names.REQUEST_ID),
             never_ran=never_ran or head.status in NEVER_RAN_STATUSES,
-            misdirected=head.status == MISDIRECTED,
-            at_fault=_first(head.headers, names.AT_FAULT),
+            misdirected=head.status == MISDIRECTED_STATUS,
+            at_fault=_first_header(head.headers, names.FAULTY_SERVER),
             closes="close" in connection,
-            idle_seconds=_idle_seconds(_first(head.headers, b"Keep-Alive")),
+            idle_seconds=_parse_idle_seconds(_first_header(head.headers, b"Keep-Alive")),
             framed=head.framed,
-            restrictions=_restrictions(head.status, head.headers),
+            restrictions=_parse_restrictions(head.status, head.headers),
         )
 
     def own_answer(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
@@ -163,27 +163,27 @@
         return configuration.table_from(document)
 
 
-def _restrictions(status: int, headers: Headers) -> Restrictions:
+def _parse_restrictions(status: int, headers: Headers) -> Restrictions:
     """Decode the restrictions that a server imposes on its callers."""
-    rate_limit = _first(headers, names.RATE_LIMIT)
-    rest = _first(headers, names.RETRY_AFTER) if status in TURNED_AWAY_STATUSES else None
-    wanted = {"rate_limit": rate_limit, "back_off": rest}
+    rate_limit = _first_header(headers, names.RATE_LIMIT)
+    retry_after = _first_header(headers, names.RETRY_AFTER) if status in BACK_OFF_STATUSES else None
+    texts = {"rate_limit": rate_limit, "back_off": retry_after}
     unreadable = tuple(
-        name for name, text in wanted.items() if text is not None and decimal(text) is None
+        name for name, text in texts.items() if text is not None and decimal(text) is None
     )
-    seconds = decimal(rest)
+    seconds = decimal(retry_after)
     return Restrictions(
         rate_limit=decimal(rate_limit),
         back_off_ms=None if seconds is None else seconds * 1000,
-        leaving=_first(headers, names.LEAVING) == "1",
+        leaving=_first_header(headers, names.LEAVING) == "1",
         unreadable=unreadable,
     )
 
 
-def _idle_seconds(text: str | None) -> float | None:
+def _parse_idle_seconds(text: str | None) -> float | None:
     """Return the idle timeout of a connection from a Keep-Alive header."""
     for part in (text or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout":
-            return _number(value)
+            return _parse_float(value)
     return None
--- a/siskinspoke/platform/configuration.py
+++ b/siskinspoke/platform/configuration.py
@@ -179,7 +179,7 @@
     return Ok(table)
 
 
-def services_in(document: dict) -> frozenset[str]:
+def service_names(document: dict) -> frozenset[str]:
     """Return the names of the services of a valid configuration."""
     return frozenset(item["name"] for item in document["services"])
 
--- a/siskinspoke/platform/control_app.py
+++ b/siskinspoke/platform/control_app.py
@@ -11,14 +11,14 @@
 from siskinspoke.coordination.directory import UNDATED
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.core.supervise import note_fault
-from siskinspoke.platform.configuration import decode_configuration, services_in
+from siskinspoke.platform.configuration import decode_configuration, service_names
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.transport.calls import Bounds, Call, Reply
 
 BOUNDS = Bounds(body_bytes=16_000_000, body_seconds=5.0)
 JSON = "application/json"
 # A deregistration carries no sequence number; it supersedes every heartbeat of the same process.
-LAST_SEQ = 2**60
+DEREGISTRATION_SEQ = 2**60
 DRAINING = "draining"
 
 
@@ -44,39 +44,41 @@
 def announcement_from(server: str, body: bytes) -> Result[Announcement, Failure]:
     """Decode a heartbeat into an announcement."""
     try:
-        beat = msgspec.json.decode(body, type=Beat)
-        address = address_from(beat.address)
+        heartbeat = msgspec.json.decode(body, type=Beat)
+        address = address_from(heartbeat.address)
     except (msgspec.MsgspecError, ValueError) as error:
         return Error(Failure(ResultCode.NOT_JSON, str(error)))
     return Ok(
         _announcement(
             server,
-            beat.born,
-            beat.seq,
-            beat.state == DRAINING,
-            service=beat.service,
-            failure_domain=beat.zone,
+            heartbeat.born,
+            heartbeat.seq,
+            heartbeat.state == DRAINING,
+            service=heartbeat.service,
+            failure_domain=heartbeat.zone,
             host=address.host,
             port=address.port,
         )
     )
 
 
-def farewell_from(
-    server: str, body: bytes, known: Announcement | None
+def deregistration_from(
+    server: str, body: bytes, latest: Announcement | None
 ) -> Result[Announcement, Failure]:
     """Decode a deregistration into an announcement that the server is leaving.
 
     It applies to the server process whose start time it names, or else to the latest known one.
     """
     try:
-        said = msgspec.json.decode(body, type=Farewell) if body else Farewell()
+        deregistration = msgspec.json.decode(body, type=Farewell) if body else Farewell()
     except msgspec.MsgspecError as error:
         return Error(Failure(ResultCode.NOT_JSON, str(error)))
-    if known is None:
-        return Ok(_announcement(server, said.born or UNDATED, LAST_SEQ, leaving=True))
-    start = known.incarnation if said.born is None else said.born
-    return Ok(known._replace(incarnation=start, seq=LAST_SEQ, leaving=True))
+    if latest is None:
+        return Ok(
+            _announcement(server, deregistration.born or UNDATED, DEREGISTRATION_SEQ, leaving=True)
+        )
+    start = latest.incarnation if deregistration.born is None else deregistration.born
+    return Ok(latest._replace(incarnation=start, seq=DEREGISTRATION_SEQ, leaving=True))
 
 
 def _announcement(server: str, incarnation: int, seq: int, leaving: bool, **known) -> Announcement:
@@ -108,12 +110,12 @@
     return Reply(status, msgspec.json.encode(document), JSON)
 
 
-def _refusal(failure: Failure, status: int = 400) -> Reply:
+def _error_reply(failure: Failure, status: int = 400) -> Reply:
     return _reply(failure.to_document(), status)
 
 
-def _unsure(message: str) -> Reply:
-    return _refusal(Failure(ResultCode.NO_QUORUM, message), 503)
+def _unavailable(message: str) -> Reply:
+    return _error_reply(Failure(ResultCode.NO_QUORUM, message), 503)
 
 
 class ControlApp:
@@ -123,7 +125,7 @@
         self._registry = parts.registry
         self._counters = parts.counters
         self._log = parts.log
-        self._known_services: tuple[int, frozenset[str] | None] = (0, None)
+        self._service_cache: tuple[int, frozenset[str] | None] = (0, None)
 
     async def answer(self, call: Call) -> Reply:
         """Answer one call; an exception in one must not stop the VM."""
@@ -131,7 +133,7 @@
             return await self._answer(call)
         except Exception as error:
             note_fault(self._log, self._counters, f"{call.method} {call.path[:100]}", error)
-            return _refusal(Failure(ResultCode.INTERNAL, "a fault of this VM"), 500)
+            return _error_reply(Failure(ResultCode.INTERNAL, "a fault of this VM"), 500)
 
     async def _answer(self, call: Call) -> Reply:
         words = [unquote(word) for word in call.path.split("/")[1:]]
@@ -144,51 +146,53 @@
                 return await self._replace(call.body)
             case ("GET", "config", "get"):
                 return await self._get()
-        return _refusal(Failure(ResultCode.UNKNOWN_PATH, "no such path or method"), 404)
+        return _error_reply(Failure(ResultCode.UNKNOWN_PATH, "no such path or method"), 404)
 
     def _services(self) -> frozenset[str] | None:
         """Return the services of the current configuration, or None before the first one."""
-        held = self._registry.held
-        if held.document is None:
+        current = self._registry.held
+        if current.document is None:
             return None
-        if self._known_services[0] != held.version:
-            self._known_services = (held.version, services_in(held.document))
-        return self._known_services[1]
+        if self._service_cache[0] != current.version:
+            self._service_cache = (current.version, service_names(current.document))
+        return self._service_cache[1]
 
     async def _announce(self, server: str, body: bytes) -> Reply:
         registry = self._registry
-        read = announcement_from(server, body)
-        fault = read.error if read.is_error() else registry.fault_of(read.ok, self._services())
-        if fault is not None:
-            registry.refuse(server, fault)
-            return _refusal(fault)
-        return await self._take_in(read.ok)
+        decoded = announcement_from(server, body)
+        failure = (
+            decoded.error if decoded.is_error() else registry.fault_of(decoded.ok, self._services())
+        )
+        if failure is not None:
+            registry.refuse(server, failure)
+            return _error_reply(failure)
+        return await self._register(decoded.ok)
 
     async def _deregister(self, server: str, body: bytes) -> Reply:
-        read = farewell_from(server, body, self._registry.known(server))
-        if read.is_error():
-            self._registry.refuse(server, read.error)
-            return _refusal(read.error)
-        return await self._take_in(read.ok)
+        decoded = deregistration_from(server, body, self._registry.known(server))
+        if decoded.is_error():
+            self._registry.refuse(server, decoded.error)
+            return _error_reply(decoded.error)
+        return await self._register(decoded.ok)
 
-    async def _take_in(self, announcement: Announcement) -> Reply:
+    async def _register(self, announcement: Announcement) -> Reply:
         if not await self._registry.announce(announcement):
-            return _unsure("nobody could be told of the leave; ask another VM")
+            return _unavailable("nobody could be told of the leave; ask another VM")
         return _reply({})
 
     async def _replace(self, body: bytes) -> Reply:
         decoded = decode_configuration(body)
         if decoded.is_error():
             self._log.note("configuration.refused", reason=decoded.error.message[:300])
-            return _refusal(decoded.error)
+            return _error_reply(decoded.error)
         document, table = decoded.ok
         published = await self._registry.publish(table.version, document)
         if not published.known:
-            return _unsure("no majority confirmed the configuration in time; send it again")
+            return _unavailable("no majority confirmed the configuration in time; send it again")
         return _reply({"version": published.version})
 
     async def _get(self) -> Reply:
-        held = await self._registry.read()
-        if held is None or held.document is None:
-            return _unsure("this VM cannot tell which configuration is the newest")
-        return _reply(held.document)
+        current = await self._registry.read()
+        if current is None or current.document is None:
+            return _unavailable("this VM cannot tell which configuration is the newest")
+        return _reply(current.document)
--- a/siskinspoke/platform/names.py
+++ b/siskinspoke/platform/names.py
@@ -12,7 +12,7 @@
 # Number of prompt tokens and maximum number of output tokens, separated by a comma.
 TOKEN_COUNTS = b"Token-Counts"
 # From 0, the highest priority, to 9, the lowest.
-RANK = b"Request-Priority"
+PRIORITY = b"Request-Priority"
 # Other servers that prefill parts of the prompt, as HOST:PORT or HOST:PORT/RESERVATION.
 HELPERS = b"Helpers"
 WEIGHTS_WANTED = b"Expect-Version"
@@ -30,12 +30,12 @@
 # On a 421: the server instance that has the address now.
 ANSWERED_BY = b"Instance-Id"
 # The address of the helper that failed, if it was not the addressed server.
-AT_FAULT = b"At-Server"
+FAULTY_SERVER = b"At-Server"
 # Delay before a retry, in seconds, on refusals sent to clients and on those of backend servers.
 RETRY_AFTER = b"Retry-After"
 
 # Hop-by-hop headers, which are not forwarded.
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -50,7 +50,7 @@
     }
 )
 # Request headers that only this system may set; they are removed from client requests.
-SET_HERE = frozenset(
+SYSTEM_ONLY = frozenset(
     name.lower()
-    for name in (DEADLINE, API_KEY, CUSTOMER, EXPECTED_SERVER, RANK, HELPERS, WEIGHTS_WANTED)
+    for name in (DEADLINE, API_KEY, CUSTOMER, EXPECTED_SERVER, PRIORITY, HELPERS, WEIGHTS_WANTED)
 )
--- a/siskinspoke/platform/orders.py
+++ b/siskinspoke/platform/orders.py
@@ -17,14 +17,14 @@
 
 
 def _order(server: str, body: dict) -> tuple[RequestHead, bytes]:
-    data = msgspec.json.encode(body)
+    content = msgspec.json.encode(body)
     headers = [
         (b"Host", b"engine"),
         (names.EXPECTED_SERVER, server.encode()),
         (b"Content-Type", b"application/json"),
-        (b"Content-Length", b"%d" % len(data)),
+        (b"Content-Length", b"%d" % len(content)),
     ]
-    return RequestHead("POST", "/order", headers), data
+    return RequestHead("POST", "/order", headers), content
 
 
 def reserve_order(server: str, name: str, tokens: int, lease_ms: int) -> tuple[RequestHead, bytes]:
--- a/tests/gateway/test_cells.py
+++ b/tests/gateway/test_cells.py
@@ -18,7 +18,7 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.peers import Peers
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.gateway.widening import ask_others
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
@@ -78,7 +78,7 @@
         CommonBudget(0.2, 100),
         Domains(),
         fleet.cells,
-        Questions("10.0.0.0", PORT, lambda question: None, Counters()),
+        Queries("10.0.0.0", PORT, lambda question: None, Counters()),
         Counters(),
         lambda _host, _domain: None,
         lambda _server: None,
@@ -91,7 +91,7 @@
     def test_fleet_has_cells_of_bounded_size(self):
         fleet = Fleet()
         assert len(fleet.cells.others) == 3
-        assert len(fleet.cells.addresses(fleet.cells.mine)) == VMS_A_DOMAIN // 2 - 1
+        assert len(fleet.cells.addresses(fleet.cells.own_cell)) == VMS_A_DOMAIN // 2 - 1
         assert len(fleet.cells.servers("m")) == ENGINES_A_DOMAIN // 2
 
     def told(self, server_of) -> tuple[Fleet, list[tuple[WorkNews, list]]]:
@@ -101,10 +101,10 @@
         async def run():
             peers = peers_of(fleet, Books())
             number = peers.began(Work(JOB, (server_of(fleet),), 0.0))
-            await peers._tell_all(port)
+            await peers._send_updates(port)
             peers.wrote(number)
             peers.ended(number)
-            await peers._tell_all(port)
+            await peers._send_updates(port)
 
         trio.run(run)
         return fleet, port.sent
@@ -112,7 +112,7 @@
     def test_work_in_own_cell_is_sent_to_own_cell_only(self):
         """With 195 VMs, updates to every VM took nine tenths of the fleet's processor time."""
         fleet, sent = self.told(lambda fleet: min(fleet.cells.servers("m")))
-        mine = fleet.cells.addresses(fleet.cells.mine)
+        mine = fleet.cells.addresses(fleet.cells.own_cell)
         assert [addresses for _, addresses in sent] == [mine, mine]
         assert sent[0][0].began
         assert sent[1][0].wrote == sent[1][0].ended == [1]
@@ -120,8 +120,8 @@
     def test_work_in_another_cell_is_sent_to_that_cell(self):
         """VMs of that cell would otherwise assume that the engine is idle and overload it."""
         fleet, sent = self.told(lambda fleet: "b-3")
-        watching = fleet.cells.watching(["b-3"])
-        assert fleet.cells.mine not in watching
+        watching = fleet.cells.cells_tracking(["b-3"])
+        assert fleet.cells.own_cell not in watching
         heard = {address for _, addresses in sent for address in addresses}
         expected = {at for cell in watching for at in fleet.cells.addresses(cell)}
         assert heard >= expected
@@ -133,11 +133,11 @@
         async def run():
             peers = peers_of(fleet, Books())
             peers.rate_limit(("b-3", 1), 2.0, 0.0)
-            await peers._tell_all(port)
+            await peers._send_updates(port)
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
         heard = {address for _, addresses in port.sent for address in addresses}
-        cells = {fleet.cells.mine, *fleet.cells.watching(["b-3"])}
+        cells = {fleet.cells.own_cell, *fleet.cells.cells_tracking(["b-3"])}
         assert heard == {at for cell in cells for at in fleet.cells.addresses(cell)}
         assert {item for item, _ in port.sent} == {RateLimitNews("b-3", 1, 2.0, 0.0)}
 
@@ -148,11 +148,11 @@
         async def run():
             peers = peers_of(fleet, Books())
             peers.began(Work(JOB, (min(fleet.cells.servers("m")),), 0.0))
-            await peers._tell_all(port)
-            await peers._tell_all(port)
+            await peers._send_updates(port)
+            await peers._send_updates(port)
             assert len(port.sent) == 1
             await trio.sleep(1.0)
-            await peers._tell_all(port)
+            await peers._send_updates(port)
             assert len(port.sent) == 2
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -174,7 +174,7 @@
         rate_limits=RateLimits(),
         back_offs=BackOffs(),
         settings=SimpleNamespace(failure_domain="a"),
-        questions=SimpleNamespace(ask=ask),
+        questions=SimpleNamespace(request_offers=ask),
         counters=Counters(),
     )
     return gateway
@@ -226,31 +226,31 @@
         """The queried VM has been killed; the client's prompt must not wait for it."""
 
         async def run():
-            questions = Questions("10.0.0.0", PORT, lambda question: None, Counters())
-            questions.use(Port())
+            questions = Queries("10.0.0.0", PORT, lambda question: None, Counters())
+            questions.set_port(Port())
             began = trio.current_time()
             question = PlaceQuestion("", 0, "m", *JOB, [])
-            assert await questions.ask(question, [("10.0.0.1", PORT)]) == []
+            assert await questions.request_offers(question, [("10.0.0.1", PORT)]) == []
             assert trio.current_time() - began < 0.1
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_late_and_duplicate_offers_are_ignored(self):
         async def run():
-            questions = Questions("10.0.0.0", PORT, lambda question: None, Counters())
-            questions.use(Port())
+            questions = Queries("10.0.0.0", PORT, lambda question: None, Counters())
+            questions.set_port(Port())
             offers = []
 
             async def ask():
                 question = PlaceQuestion("", 0, "m", *JOB, [])
-                offers.extend(await questions.ask(question, [("10.0.0.1", PORT)]))
+                offers.extend(await questions.request_offers(question, [("10.0.0.1", PORT)]))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.testing.wait_all_tasks_blocked()
-                questions.hear(PlaceOffer(1, ["b-1"], 90.0, []))
-                questions.hear(PlaceOffer(1, ["b-1"], 90.0, []))
-            questions.hear(PlaceOffer(1, ["b-1"], 90.0, []))
+                questions.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+                questions.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+            questions.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
             assert offers == [PlaceOffer(1, ["b-1"], 90.0, [])]
 
         trio.run(run)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -8,8 +8,8 @@
 from siskinspoke.coordination.retries import CommonBudget
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
-from siskinspoke.gateway.peers import SILENT_MS, Peers
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.peers import PEER_TIMEOUT_MS, Peers
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import WorkBegan, WorkNews
@@ -42,7 +42,7 @@
         budget,
         domains,
         cell_view(host, []),
-        Questions(host, PORT, lambda question: None, Counters()),
+        Queries(host, PORT, lambda question: None, Counters()),
         Counters(),
         lambda _host, _domain: None,
         lambda _server: None,
@@ -70,9 +70,9 @@
         """A VM is killed with open work; it is back a second later and reports new work."""
 
         async def scenario(mine, books):
-            await mine._hear(began("10.0.0.2", "a", 1))
-            await mine._hear(began("10.0.0.2", "a", 2))
-            await mine._hear(began("10.0.0.2", "b", 1))
+            await mine._handle(began("10.0.0.2", "a", 1))
+            await mine._handle(began("10.0.0.2", "a", 2))
+            await mine._handle(began("10.0.0.2", "b", 1))
             assert books.open_works == 1
 
         self.run(scenario)
@@ -81,12 +81,12 @@
         """A failure domain is partitioned; updates on finished work no longer arrive."""
 
         async def scenario(mine, books):
-            await mine._hear(began("10.0.0.2", "a", 1))
-            await mine._hear(began("10.0.0.3", "a", 1))
+            await mine._handle(began("10.0.0.2", "a", 1))
+            await mine._handle(began("10.0.0.3", "a", 1))
             now = trio.current_time() * 1000
-            mine.forget_silent(now + SILENT_MS - 100)
+            mine.expire_peers(now + PEER_TIMEOUT_MS - 100)
             assert books.open_works == 2
-            mine.forget_silent(now + SILENT_MS + 100)
+            mine.expire_peers(now + PEER_TIMEOUT_MS + 100)
             assert books.open_works == 0
 
         self.run(scenario)
@@ -94,16 +94,16 @@
     def test_own_work_is_kept(self):
         async def scenario(mine, books):
             mine.began(Work(JOB, ("e1",), 0.0))
-            mine.forget_silent(trio.current_time() * 1000 + 60_000)
+            mine.expire_peers(trio.current_time() * 1000 + 60_000)
             assert books.open_works == 1
 
         self.run(scenario)
 
     def test_work_of_vm_that_sends_updates_is_kept(self):
         async def scenario(mine, books):
-            await mine._hear(began("10.0.0.2", "a", 1))
-            await mine._hear(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
-            mine.forget_silent(trio.current_time() * 1000 + 100)
+            await mine._handle(began("10.0.0.2", "a", 1))
+            await mine._handle(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
+            mine.expire_peers(trio.current_time() * 1000 + 100)
             assert books.open_works == 1
 
         self.run(scenario)
@@ -129,7 +129,7 @@
                         CommonBudget(0.2, 100),
                         Domains(),
                         cell_view(host, others),
-                        Questions(host, PORT, lambda question: None, Counters()),
+                        Queries(host, PORT, lambda question: None, Counters()),
                         Counters(),
                         lambda _host, _domain: None,
                         lambda _server: None,
@@ -139,7 +139,7 @@
                 await until(lambda: books["127.0.0.2"].open_works == 1)
                 running["127.0.0.1"].wrote(number)
                 running["127.0.0.1"].ended(number)
-                running["127.0.0.1"].paced("e2", 3.0)
+                running["127.0.0.1"].update_pace("e2", 3.0)
                 await until(lambda: books["127.0.0.2"].open_works == 0)
                 await until(lambda: books["127.0.0.2"].engine("e2").pace == 3.0)
                 nursery.cancel_scope.cancel()
@@ -157,7 +157,7 @@
         async def main():
             mine = peers("10.0.0.1", Books(), domains)
             for host, domain in news:
-                await mine._hear(WorkNews(host, "s", [], [], [], [], [], domain, ["b"], []))
+                await mine._handle(WorkNews(host, "s", [], [], [], [], [], domain, ["b"], []))
             return domains.is_cut("b", trio.current_time() * 1000)
 
         return trio.run(main)
--- a/tests/gateway/test_permits.py
+++ b/tests/gateway/test_permits.py
@@ -70,7 +70,7 @@
         world = self
 
         class Questions:
-            async def ask_permit(self, question: PermitRequest, other: str) -> PermitReply | None:
+            async def request_permit(self, question: PermitRequest, other: str) -> PermitReply | None:
                 world.asked += 1
                 await trio.sleep(world.rng.uniform(0.001, 0.004))
                 if other in world.frozen or (other in world.cut) != (host in world.cut):
@@ -254,13 +254,13 @@
             permits, limit = world.permits[other], RateLimits()
             limit.name(RECORD.start, 50.0, 0.0)
             seen = []
-            decide = World.questions(world, other).ask_permit
+            decide = World.questions(world, other).request_permit
 
-            async def ask_permit(question, host):
+            async def request_permit(question, host):
                 seen.append((host, question.silent_ms))
                 return None if host == first else await decide(question, host)
 
-            questions = SimpleNamespace(ask_permit=ask_permit)
+            questions = SimpleNamespace(request_permit=request_permit)
             for _ in range(2):
                 await permits.obtain(questions, RECORD, limit.find(RECORD.start), 0.0)
                 await trio.sleep(60.0)
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -1,7 +1,7 @@
 """Tests for the selection of the VM that polls an engine, and of the engines polled."""
 
 from siskinspoke.coordination.books import Books, Job, Work
-from siskinspoke.gateway.reports import Asked, asks, is_worth_asking
+from siskinspoke.gateway.reports import PollAssignment, is_poller, needs_polling
 
 HOSTS = [f"10.0.0.{number}" for number in range(7)]
 
@@ -12,24 +12,24 @@
     def test_exactly_one_vm_polls(self):
         for number in range(50):
             server = f"i-{number}"
-            asking = [me for me in HOSTS if asks(me, [h for h in HOSTS if h != me], server)]
+            asking = [me for me in HOSTS if is_poller(me, [h for h in HOSTS if h != me], server)]
             assert len(asking) == 1
 
     def test_polling_is_distributed(self):
-        counts = [sum(asks(me, HOSTS, f"i-{number}") for number in range(200)) for me in HOSTS]
+        counts = [sum(is_poller(me, HOSTS, f"i-{number}") for number in range(200)) for me in HOSTS]
         assert min(counts) > 10
 
     def test_single_vm_polls_all(self):
-        assert all(asks("10.0.0.1", [], f"i-{number}") for number in range(20))
+        assert all(is_poller("10.0.0.1", [], f"i-{number}") for number in range(20))
 
     def test_assignment_follows_changes(self):
-        asked = Asked(HOSTS[0])
+        asked = PollAssignment(HOSTS[0])
         servers = [f"i-{number}" for number in range(40)]
-        alone = asked.of([], servers)
+        alone = asked.update([], servers)
         assert alone == frozenset(servers)
-        shared = asked.of(HOSTS[1:], servers)
-        assert shared == {name for name in servers if asks(HOSTS[0], HOSTS[1:], name)}
-        assert asked.of(HOSTS[1:], servers[:20]) == shared & set(servers[:20])
+        shared = asked.update(HOSTS[1:], servers)
+        assert shared == {name for name in servers if is_poller(HOSTS[0], HOSTS[1:], name)}
+        assert asked.update(HOSTS[1:], servers[:20]) == shared & set(servers[:20])
 
 
 class TestPolledEngines:
@@ -37,12 +37,12 @@
 
     def test_idle_engines_are_not_polled(self):
         books = Books()
-        assert not is_worth_asking(books, "e1")
+        assert not needs_polling(books, "e1")
         books.begin("w", Work(Job(5_000, 900, 300, 250), ("e1",), 0.0))
-        assert is_worth_asking(books, "e1")
+        assert needs_polling(books, "e1")
 
     def test_slow_engines_are_polled_until_recovered(self):
         """A slow engine that has lost its work would be considered slow forever if not polled."""
         books = Books()
         books.engine("e1").pace = 5.0
-        assert is_worth_asking(books, "e1")
+        assert needs_polling(books, "e1")
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -87,7 +87,7 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(site.gateway.peers.run, port)
                     nursery.start_soon(site.daemon._feeds.run)
-                    nursery.start_soon(site.daemon._chores_forever)
+                    nursery.start_soon(site.daemon._maintain_forever)
                     task_status.started()
                     await trio.sleep_forever()
 
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -124,7 +124,7 @@
         if started is not None:
             said["born"] = started
         body = json.dumps(said)
-        self.daemon._on_news([announcement_from(server.name, body.encode()).ok])
+        self.daemon._on_announcements([announcement_from(server.name, body.encode()).ok])
 
     async def connect(self) -> trio.SocketStream:
         """Open a client connection."""
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -6,7 +6,7 @@
 import pytest
 
 from siskinspoke.coordination.directory import UNDATED
-from siskinspoke.platform.control_app import announcement_from, farewell_from
+from siskinspoke.platform.control_app import announcement_from, deregistration_from
 from siskinspoke.platform.orders import decode_report
 
 BEAT = {
@@ -81,7 +81,7 @@
                     spoilt[rng.randrange(len(spoilt))] = rng.randrange(256)
             for read in (
                 announcement_from("i-1", bytes(spoilt)),
-                farewell_from("i-1", bytes(spoilt), None),
+                deregistration_from("i-1", bytes(spoilt), None),
             ):
                 assert read.is_ok() or read.error.message
             decode_report(200, bytes(spoilt))
@@ -92,19 +92,19 @@
 
     def test_named_start_time(self):
         known = announcement_from("i-1", beat()).ok
-        former = farewell_from("i-1", b'{"born":1}', known).ok
+        former = deregistration_from("i-1", b'{"born":1}', known).ok
         assert (former.incarnation, former.leaving) == (1, True)
 
     def test_empty_body_means_latest_start_time(self):
         known = announcement_from("i-1", beat()).ok
-        assert farewell_from("i-1", b"", known).ok.incarnation == BEAT["born"]
+        assert deregistration_from("i-1", b"", known).ok.incarnation == BEAT["born"]
 
     def test_supersedes_all_heartbeats_of_same_process(self):
         known = announcement_from("i-1", beat(seq=10**9)).ok
-        assert farewell_from("i-1", b"", known).ok.seq > 10**9
+        assert deregistration_from("i-1", b"", known).ok.seq > 10**9
 
     def test_unreadable(self):
-        assert farewell_from("i-1", b'{"born":"x"}', None).is_error()
+        assert deregistration_from("i-1", b'{"born":"x"}', None).is_error()
 
 
 class TestReports:
--- a/tests/platform/test_back_off.py
+++ b/tests/platform/test_back_off.py
@@ -89,7 +89,7 @@
                 servers(site, "engines", [RESTS], [Events()]) as (one, _),
             ):
                 record = site.gateway.directory.latest(one.name)
-                await reports._ask(site.gateway, record)
+                await reports._poll(site.gateway, record)
                 assert held(site.gateway, record, now_ms()).why == BACK_OFF
                 answers = await press(site, "/stream/x", 1.0, **PROMPT)
                 assert all(answer.status == 200 for answer in answers)
