--- a/siskinspoke/gateway/cells.py
+++ b/siskinspoke/gateway/cells.py
@@ -13,8 +13,8 @@
 class CellView:
     """Recompute the cells when VMs or servers have been added or removed.
 
-    ``peers`` returns the other known entry VMs. ``changes`` returns how many times that set has
-    changed, which is cheaper to compare than the set itself.
+    ``peers`` returns the other known entry VMs. ``change_count`` returns how many times that set
+    has changed, which is cheaper to compare than the set itself.
     """
 
     def __init__(
--- a/siskinspoke/gateway/daemon.py
+++ b/siskinspoke/gateway/daemon.py
@@ -74,7 +74,7 @@
             on_publication=self._on_publication,
             on_news=self._on_announcements,
             on_renewals=self._on_renewals,
-            on_remembered=self._on_remembered,
+            on_remembered=self._on_remembered_servers,
             version=lambda: self.gateway.table.version if self.gateway.table else 0,
             on_crashes=self._on_crashes,
             own_crashes=lambda: self.gateway.crashes.own_news(now_ms()),
@@ -96,7 +96,7 @@
             lambda: self._feeds.peer_changes,
             log,
         )
-        questions = Queries(
+        queries = Queries(
             settings.host,
             settings.peer_port,
             lambda question: offer(self.gateway, question),
@@ -119,7 +119,7 @@
             looks=Looks(),
             connects=ConnectTimer(),
             cells=cells,
-            questions=questions,
+            questions=queries,
             permits=Permits(
                 EntryPeer(settings.host, settings.peer_port, settings.failure_domain),
                 lambda: self._feeds.peers,
@@ -136,7 +136,7 @@
                 budget,
                 domains,
                 cells,
-                questions,
+                queries,
                 counters,
                 self._feeds.heard_peer,
                 lambda server: hear_lost(self.gateway, server),
@@ -179,10 +179,10 @@
 
     def _on_announcements(self, announcements: list[Announcement]) -> None:
         for announcement in announcements:
-            heard = handle_announcement(self.gateway, announcement)
-            if heard in (Heard.JOINED, Heard.LEFT):
+            change = handle_announcement(self.gateway, announcement)
+            if change in (Heard.JOINED, Heard.LEFT):
                 self._log.note(
-                    f"server.{heard.value}",
+                    f"server.{change.value}",
                     server=announcement.server,
                     service=announcement.service,
                     address=f"{announcement.host}:{announcement.port}",
@@ -190,22 +190,22 @@
                     seq=announcement.seq,
                 )
 
-    def _on_remembered(self, announcements: list[Announcement]) -> None:
+    def _on_remembered_servers(self, announcements: list[Announcement]) -> None:
         now = now_ms()
         new = [item for item in announcements if self.gateway.directory.remember(item, now)]
         self._log.note("servers.remembered", told=len(announcements), new=len(new))
 
-    def _on_crashes(self, news: CrashNews) -> None:
-        self.gateway.crashes.hear(news, now_ms())
+    def _on_crashes(self, crashes: CrashNews) -> None:
+        self.gateway.crashes.hear(crashes, now_ms())
 
-    def _send_crashes(self, news: CrashNews) -> None:
+    def _send_crashes(self, crashes: CrashNews) -> None:
         """Send crash updates to this cell's VMs directly, and to all others via control VMs."""
-        self.gateway.peers.send_crashes(news)
-        self._feeds.tell_crashes(news)
+        self.gateway.peers.send_crashes(crashes)
+        self._feeds.tell_crashes(crashes)
 
-    def _on_renewals(self, items: list[tuple[str, int, int]]) -> None:
+    def _on_renewals(self, renewals: list[tuple[str, int, int]]) -> None:
         now = now_ms()
-        for server, incarnation, seq in items:
+        for server, incarnation, seq in renewals:
             self.gateway.directory.renew(server, incarnation, seq, now)
 
     @property
--- a/siskinspoke/gateway/lives.py
+++ b/siskinspoke/gateway/lives.py
@@ -13,9 +13,9 @@
 def handle_announcement(gateway: Gateway, announcement: Announcement) -> Heard:
     """Process an announcement, and reset the server's state here if it has restarted."""
     known = gateway.directory.latest(announcement.server)
-    heard = gateway.directory.hear(announcement, now_ms())
+    change = gateway.directory.hear(announcement, now_ms())
     if known is None or known.announcement.incarnation >= announcement.incarnation:
-        return heard
+        return change
     server = announcement.server
     if not known.announcement.leaving and not gateway.crashes.has_crashed(known.start):
         now, service = now_ms(), announcement.service
@@ -34,4 +34,4 @@
         former=known.announcement.incarnation,
         attempts_ended=ended,
     )
-    return heard
+    return change
--- a/siskinspoke/gateway/peers.py
+++ b/siskinspoke/gateway/peers.py
@@ -59,7 +59,7 @@
         budget: CommonBudget,
         domains: Domains,
         cells: CellView,
-        questions: Queries,
+        queries: Queries,
         counters: Counters,
         on_peer: Callable[[str, str], None],
         on_unreachable_server: Callable[[str], None],
@@ -74,7 +74,7 @@
         self._budget = budget
         self._domains = domains
         self._cells = cells
-        self._questions = questions
+        self._queries = queries
         self._counters = counters
         self._on_peer = on_peer
         self._on_unreachable_server = on_unreachable_server
@@ -93,7 +93,7 @@
         self._tracking_cells: dict[int, set[Cell]] = {}
         self._last_sent_ms: dict[Cell, float] = {}
         self._has_updates = trio.Event()
-        self._urgent = trio.Event()
+        self._send_now = trio.Event()
 
     def began(self, work: Work) -> int:
         """Record work in the load state of this VM and of its peers, and return its number."""
@@ -101,7 +101,7 @@
         number, job = self._last_number, work.job
         self._books.begin(self._own_work_key(number), work)
         self._on_work_began(work)
-        news = WorkBegan(
+        update = WorkBegan(
             number,
             list(work.servers),
             job.tokens,
@@ -113,8 +113,8 @@
         )
         self._tracking_cells[number] = self._cells.cells_tracking(work.servers)
         for cell in self._tracking_cells[number]:
-            self._enqueue(self._update_for(cell).began, news)
-        self._urgent.set()
+            self._enqueue(self._update_for(cell).began, update)
+        self._send_now.set()
         return number
 
     def wrote(self, number: int) -> None:
@@ -132,26 +132,26 @@
     def cut(self, domain: str) -> None:
         """Tell the other VMs that a failure domain has become unreachable."""
         self._enqueue(self._own_cell_update().cuts, domain)
-        self._urgent.set()
+        self._send_now.set()
 
     def lost(self, server: str) -> None:
         """Tell the other VMs that a server is unreachable from this VM."""
         self._enqueue(self._own_cell_update().lost, server)
-        self._urgent.set()
+        self._send_now.set()
 
-    def send_crashes(self, news: CrashNews) -> None:
+    def send_crashes(self, crashes: CrashNews) -> None:
         """Send the crash information of this VM to the other VMs of its cell.
 
         They also receive it from control VMs, but a partition may separate them from those.
         """
-        self._enqueue(self._pending_crashes, news)
-        self._urgent.set()
+        self._enqueue(self._pending_crashes, crashes)
+        self._send_now.set()
 
     def rate_limit(self, start: tuple[str, int], rate: float | None, now: float) -> None:
         """Send a server's overall rate limit to this cell and to those that track the server."""
         self._pending_rate_limits[start] = rate, now
         self._has_updates.set()
-        self._urgent.set()
+        self._send_now.set()
 
     def update_pace(self, server: str, pace: float) -> None:
         """Record the pace reported by an engine, and send it to the peers if it has changed."""
@@ -186,32 +186,34 @@
         """Send and receive forever."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(port.receive_forever, self._handle)
-            self._questions.set_port(port)
+            self._queries.set_port(port)
             while True:
                 with trio.move_on_after(KEEPALIVE_INTERVAL_MS / 1000):
                     await self._has_updates.wait()
                 with trio.move_on_after(BATCH_DELAY_SECONDS):
-                    await self._urgent.wait()
-                self._has_updates, self._urgent = trio.Event(), trio.Event()
+                    await self._send_now.wait()
+                self._has_updates, self._send_now = trio.Event(), trio.Event()
                 await self._send_updates(port)
 
     async def _send_updates(self, port: DatagramPort) -> None:
         now = trio.current_time() * 1000
-        crash_news, self._pending_crashes = self._pending_crashes, []
-        for item in crash_news:
+        crashes, self._pending_crashes = self._pending_crashes, []
+        for item in crashes:
             await port.send_to_all(item, self._cells.addresses(self._cells.own_cell))
         rate_limits, self._pending_rate_limits = self._pending_rate_limits, {}
         for (server, incarnation), (rate, at) in rate_limits.items():
             item = RateLimitNews(server, incarnation, rate, now - at)
             for cell in {self._cells.own_cell, *self._cells.cells_tracking([server])}:
                 await port.send_to_all(item, self._cells.addresses(cell))
-        news, self._pending_work = self._pending_work, {}
+        updates, self._pending_work = self._pending_work, {}
         own_cell = self._cells.own_cell
-        if own_cell in news or self._budget.has_repeats_to_tell:
-            news.setdefault(own_cell, self._empty_update()).calls.extend(self._budget.take_news())
+        if own_cell in updates or self._budget.has_repeats_to_tell:
+            updates.setdefault(own_cell, self._empty_update()).calls.extend(
+                self._budget.take_news()
+            )
         for cell in self._cells_due(now):
-            news.setdefault(cell, self._empty_update())
-        for cell, item in news.items():
+            updates.setdefault(cell, self._empty_update())
+        for cell, item in updates.items():
             self._last_sent_ms[cell] = now
             await port.send_to_all(item, self._cells.addresses(cell))
 
@@ -259,9 +261,9 @@
             case WorkNews():
                 self._hear_news(item)
             case PlaceQuestion() | PermitRequest():
-                await self._questions.handle_query(item)
+                await self._queries.handle_query(item)
             case PlaceOffer() | PermitReply():
-                self._questions.handle_reply(item)
+                self._queries.handle_reply(item)
             case RateLimitNews():
                 self._on_rate_limit(item)
             case CrashNews():
--- a/siskinspoke/gateway/permits.py
+++ b/siskinspoke/gateway/permits.py
@@ -53,9 +53,9 @@
 class Permits:
     """Request permits from limiters, and act as the limiter of some servers.
 
-    ``peers`` returns the other known entry VMs and ``changes`` how many times they have changed.
-    ``has_quorum`` returns whether this VM reaches a majority of the fleet, ``heard_within``
-    whether another VM was heard from within a number of milliseconds.
+    ``peers`` returns the other known entry VMs and ``change_count`` how many times they have
+    changed. ``has_quorum`` returns whether this VM reaches a majority of the fleet, and
+    ``heard_within`` whether another VM was heard from within a number of milliseconds.
     """
 
     def __init__(
@@ -117,21 +117,21 @@
 
     def _decide(self, ask: Ask, domain: str) -> Verdict:
         limiters = self._limiters(ask.start[0], domain)
-        place = limiters.index(self._own_vm.host) if self._own_vm.host in limiters else None
-        before = limiters[:place] if place else ()
-        if any(self._heard_within(host, TAKE_OVER_MS) for host in before):
+        rank = limiters.index(self._own_vm.host) if self._own_vm.host in limiters else None
+        preferred = limiters[:rank] if rank else ()
+        if any(self._heard_within(host, TAKE_OVER_MS) for host in preferred):
             ask = ask._replace(silent_ms=0.0)
         if (known := self._limits.find(ask.start)) is not None:
             # This VM may know a more recent limit than the one that asks.
             ask = ask._replace(rate=known.rate)
-        return self._my_limiter().decide(ask, place, self._has_quorum(), _now_ms())
+        return self._my_limiter().decide(ask, rank, self._has_quorum(), _now_ms())
 
     async def obtain(
-        self, questions: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
+        self, queries: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> tuple[Permit | Denied, Found]:
         """Return a permit as soon as it is valid, or the time until which there is none."""
         asked_at = _now_ms()
-        decision = await self._ask_limiters(questions, server, limit, patience_ms)
+        decision = await self._ask_limiters(queries, server, limit, patience_ms)
         match decision.verdict:
             case Verdict(Outcome.GRANTED, wait_ms):
                 await trio.sleep(wait_ms / 1000)
@@ -148,7 +148,7 @@
         return denied, decision
 
     async def _ask_limiters(
-        self, questions: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
+        self, queries: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> Found:
         """Return the verdict of the first limiter that answers and is able to decide."""
         announcement = server.announcement
@@ -161,7 +161,7 @@
             else:
                 age_ms = _now_ms() - limit.heard_at
                 verdict = await self._ask_vm(
-                    questions, host, ask, announcement.failure_domain, age_ms
+                    queries, host, ask, announcement.failure_domain, age_ms
                 )
             if verdict is None:
                 silent_ms = min(silent_ms, _now_ms() - self._silent_since[host])
@@ -172,7 +172,7 @@
         return Found(Verdict(Outcome.ELSEWHERE))
 
     async def _ask_vm(
-        self, questions: Queries, host: str, ask: Ask, domain: str, age_ms: float
+        self, queries: Queries, host: str, ask: Ask, domain: str, age_ms: float
     ) -> Verdict | None:
         """Return the verdict of another VM, or None if it does not answer."""
         now = _now_ms()
@@ -181,7 +181,7 @@
         request = PermitRequest(
             "", 0, *ask.start, domain, ask.rate, age_ms, ask.patience_ms, ask.silent_ms
         )
-        reply = await questions.request_permit(request, host)
+        reply = await queries.request_permit(request, host)
         if reply is None:
             if now - self._skipped_until.get(host, -math.inf) > OUTAGE_GAP_MS:
                 self._silent_since[host] = now
--- a/siskinspoke/gateway/questions.py
+++ b/siskinspoke/gateway/questions.py
@@ -22,7 +22,7 @@
 
 
 class Queries:
-    """Track pending queries; ``offer`` and ``permit`` answer those of other VMs."""
+    """Track pending queries; ``make_offer`` and ``decide_permit`` answer those of others."""
 
     def __init__(
         self,
--- a/siskinspoke/gateway/reports.py
+++ b/siskinspoke/gateway/reports.py
@@ -81,8 +81,8 @@
 
 def needs_polling(books: Books, engine: str) -> bool:
     """Return whether an engine has work, or was slow in its last report."""
-    load = books.engine(engine)
-    return bool(load.works) or load.pace > MAX_HEALTHY_PACE
+    engine_load = books.engine(engine)
+    return bool(engine_load.works) or engine_load.pace > MAX_HEALTHY_PACE
 
 
 def _engines(gateway: Gateway) -> list[ServerRecord]:
--- a/siskinspoke/gateway/restrictions.py
+++ b/siskinspoke/gateway/restrictions.py
@@ -28,23 +28,23 @@
         _apply_leaving(gateway, request_id, server)
 
 
-def _lifts_omitted(answer: Answer) -> bool:
+def _lifts_omitted(response: Answer) -> bool:
     """Return whether the absence of a restriction in a response means that it has been lifted."""
     return (
-        answer.status < MIN_FAILURE_STATUS
-        and answer.request_id is not None
-        and not answer.restrictions.unreadable
+        response.status < MIN_FAILURE_STATUS
+        and response.request_id is not None
+        and not response.restrictions.unreadable
     )
 
 
 def _apply_rate_limit(
-    gateway: Gateway, request_id: str, server: ServerRecord, answer: Answer, sent_at: float
+    gateway: Gateway, request_id: str, server: ServerRecord, response: Answer, sent_at: float
 ) -> None:
-    rate, now = answer.restrictions.rate_limit, now_ms()
+    rate, now = response.restrictions.rate_limit, now_ms()
     known = gateway.rate_limits.find(server.start)
     if rate is not None:
         changed = gateway.rate_limits.name(server.start, rate, now)
-    elif _lifts_omitted(answer):
+    elif _lifts_omitted(response):
         changed = gateway.rate_limits.lift(server.start, sent_at, now)
     else:
         return
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -80,12 +80,12 @@
     by_name = {record.announcement.server: record for record in _latest_per_address(records)}
     for name in excluded:
         by_name.pop(name, None)
-    reached = {
+    reachable = {
         name: record
         for name, record in by_name.items()
         if not gateway.domains.is_cut(record.announcement.failure_domain, now)
     }
-    by_name = reached or by_name
+    by_name = reachable or by_name
     usable = gateway.standing.usable(by_name, now)
     return [by_name[name] for name in usable]
 
--- a/siskinspoke/gateway/widening.py
+++ b/siskinspoke/gateway/widening.py
@@ -24,7 +24,7 @@
 ) -> Place | None:
     """Return the best place offered by other cells if it is better than ``found``, else None."""
     addresses = _choose_vms(gateway)
-    # ``Questions`` fills in the asking host and the number that matches offers to the query.
+    # ``Queries`` fills in the asking host and the number that matches offers to the query.
     query = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
     offers = await gateway.questions.request_offers(query, addresses)
     request.offers = len(offers)
--- a/siskinspoke/platform/calls.py
+++ b/siskinspoke/platform/calls.py
@@ -69,7 +69,7 @@
             for word in (_first_header(head.headers, b"Connection") or "").split(",")
         }
         dropped = names.HOP_BY_HOP | names.SYSTEM_ONLY | connection_options
-        kept = [
+        forwarded = [
             (name, value)
             for name, value in head.headers
             if name.lower() not in dropped
@@ -81,7 +81,7 @@
                 method=head.method,
                 target=head.target,
                 host=(_first_header(head.headers, b"Host") or "").lower(),
-                headers=kept,
+                headers=forwarded,
                 body=body,
                 deadline_ms=_parse_float(_first_header(head.headers, names.DEADLINE)),
                 key=_first_header(head.headers, names.API_KEY) or "",
@@ -111,7 +111,7 @@
     def decode_answer(self, head: AnswerHead) -> Answer:
         """Decode the response head of a backend server."""
         connection = (_first_header(head.headers, b"Connection") or "").lower()
-        kept = [
+        forwarded = [
             (name, value)
             for name, value in head.headers
             if name.lower() not in names.HOP_BY_HOP and name.lower() != b"content-length"
@@ -119,7 +119,7 @@
         never_ran = _first_header(head.headers, names.NOT_RUN) is not None
         return Answer(
             status=head.status,
-            headers=kept,
+            headers=forwarded,
             request_id=_first_header(head.headers, names.REQUEST_ID),
             never_ran=never_ran or head.status in NEVER_RAN_STATUSES,
             misdirected=head.status == MISDIRECTED_STATUS,
--- a/siskinspoke/platform/configuration.py
+++ b/siskinspoke/platform/configuration.py
@@ -102,7 +102,7 @@
     tenants: list[WireCustomer] = []
 
 
-class Decoded(NamedTuple):
+class DecodedConfiguration(NamedTuple):
     """A configuration document as received, and the route table decoded from it."""
 
     document: dict
@@ -184,10 +184,10 @@
     return frozenset(item["name"] for item in document["services"])
 
 
-def decode_configuration(body: bytes) -> Result[Decoded, Failure]:
+def decode_configuration(body: bytes) -> Result[DecodedConfiguration, Failure]:
     """Decode a configuration sent by an operator, or return why it is invalid."""
     try:
         document = msgspec.json.decode(body, type=dict)
     except msgspec.MsgspecError as error:
         return Error(Failure(ResultCode.NOT_JSON, str(error)))
-    return table_from(document).map(lambda table: Decoded(document, table))
+    return table_from(document).map(lambda table: DecodedConfiguration(document, table))
--- a/siskinspoke/platform/control_app.py
+++ b/siskinspoke/platform/control_app.py
@@ -136,8 +136,8 @@
             return _error_reply(Failure(ResultCode.INTERNAL, "a fault of this VM"), 500)
 
     async def _answer(self, call: Call) -> Reply:
-        words = [unquote(word) for word in call.path.split("/")[1:]]
-        match (call.method, *words):
+        segments = [unquote(word) for word in call.path.split("/")[1:]]
+        match (call.method, *segments):
             case ("POST", "instances", server, "heartbeat"):
                 return await self._announce(server, call.body)
             case ("POST", "instances", server, "deregister"):
--- a/tests/gateway/test_cells.py
+++ b/tests/gateway/test_cells.py
@@ -42,7 +42,7 @@
 class Fleet:
     """A fleet of two failure domains with two cells each, as seen by one VM."""
 
-    def __init__(self, me: str = "10.0.0.0"):
+    def __init__(self, own_host: str = "10.0.0.0"):
         self.directory = Directory(60_000)
         for domain in DOMAINS:
             for number in range(ENGINES_A_DOMAIN):
@@ -52,9 +52,9 @@
             for index, domain in enumerate(DOMAINS)
             for number in range(VMS_A_DOMAIN)
         ]
-        mine = next(vm for vm in self.vms if vm.host == me)
-        others = [vm for vm in self.vms if vm.host != me]
-        self.cells = CellView(mine, self.directory, lambda: others, lambda: 1, Quiet())
+        own_vm = next(vm for vm in self.vms if vm.host == own_host)
+        others = [vm for vm in self.vms if vm.host != own_host]
+        self.cells = CellView(own_vm, self.directory, lambda: others, lambda: 1, Quiet())
 
 
 class Port:
@@ -94,7 +94,7 @@
         assert len(fleet.cells.addresses(fleet.cells.own_cell)) == VMS_A_DOMAIN // 2 - 1
         assert len(fleet.cells.servers("m")) == ENGINES_A_DOMAIN // 2
 
-    def told(self, server_of) -> tuple[Fleet, list[tuple[WorkNews, list]]]:
+    def sent_updates(self, server_of) -> tuple[Fleet, list[tuple[WorkNews, list]]]:
         """Return the updates that one VM sends about work at a server chosen from the fleet."""
         fleet, port = Fleet(), Port()
 
@@ -111,20 +111,20 @@
 
     def test_work_in_own_cell_is_sent_to_own_cell_only(self):
         """With 195 VMs, updates to every VM took nine tenths of the fleet's processor time."""
-        fleet, sent = self.told(lambda fleet: min(fleet.cells.servers("m")))
-        mine = fleet.cells.addresses(fleet.cells.own_cell)
-        assert [addresses for _, addresses in sent] == [mine, mine]
+        fleet, sent = self.sent_updates(lambda fleet: min(fleet.cells.servers("m")))
+        own_cell = fleet.cells.addresses(fleet.cells.own_cell)
+        assert [addresses for _, addresses in sent] == [own_cell, own_cell]
         assert sent[0][0].began
         assert sent[1][0].wrote == sent[1][0].ended == [1]
 
     def test_work_in_another_cell_is_sent_to_that_cell(self):
         """VMs of that cell would otherwise assume that the engine is idle and overload it."""
-        fleet, sent = self.told(lambda fleet: "b-3")
-        watching = fleet.cells.cells_tracking(["b-3"])
-        assert fleet.cells.own_cell not in watching
-        heard = {address for _, addresses in sent for address in addresses}
-        expected = {at for cell in watching for at in fleet.cells.addresses(cell)}
-        assert heard >= expected
+        fleet, sent = self.sent_updates(lambda fleet: "b-3")
+        tracking = fleet.cells.cells_tracking(["b-3"])
+        assert fleet.cells.own_cell not in tracking
+        receivers = {address for _, addresses in sent for address in addresses}
+        expected = {at for cell in tracking for at in fleet.cells.addresses(cell)}
+        assert receivers >= expected
 
     def test_rate_limit_of_another_cells_engine_is_sent_to_that_cell(self):
         """An engine announced its rate limit to a VM of another cell; its own cell was not told."""
@@ -136,9 +136,9 @@
             await peers._send_updates(port)
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-        heard = {address for _, addresses in port.sent for address in addresses}
+        receivers = {address for _, addresses in port.sent for address in addresses}
         cells = {fleet.cells.own_cell, *fleet.cells.cells_tracking(["b-3"])}
-        assert heard == {at for cell in cells for at in fleet.cells.addresses(cell)}
+        assert receivers == {at for cell in cells for at in fleet.cells.addresses(cell)}
         assert {item for item, _ in port.sent} == {RateLimitNews("b-3", 1, 2.0, 0.0)}
 
     def test_open_work_is_kept_alive_without_updates(self):
@@ -158,11 +158,11 @@
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def asking_gateway(fleet: Fleet, offers: list[PlaceOffer]) -> SimpleNamespace:
+def querying_gateway(fleet: Fleet, offers: list[PlaceOffer]) -> SimpleNamespace:
     """Return a gateway whose placement queries are answered with these offers."""
 
-    async def ask(question: PlaceQuestion, asked: list) -> list[PlaceOffer]:
-        gateway.asked = asked
+    async def request_offers(question: PlaceQuestion, addresses: list) -> list[PlaceOffer]:
+        gateway.queried = addresses
         return offers
 
     gateway = SimpleNamespace(
@@ -174,13 +174,13 @@
         rate_limits=RateLimits(),
         back_offs=BackOffs(),
         settings=SimpleNamespace(failure_domain="a"),
-        questions=SimpleNamespace(request_offers=ask),
+        questions=SimpleNamespace(request_offers=request_offers),
         counters=Counters(),
     )
     return gateway
 
 
-def widened(gateway, found: Place | None, excluded=()) -> Place | None:
+def place_in_other_cells(gateway, found: Place | None, excluded=()) -> Place | None:
     clock = trio.testing.MockClock()
     request = SimpleNamespace(service="m", offers=None, widened=False)
     return trio.run(ask_others, gateway, request, JOB, excluded, found, clock=clock)
@@ -196,27 +196,27 @@
 
     def test_full_cell_takes_best_offer(self):
         offers = [PlaceOffer(1, ["a-1"], 150.0, []), PlaceOffer(1, ["b-1"], 90.0, [])]
-        gateway = asking_gateway(Fleet(), offers)
-        assert widened(gateway, None).servers == ("b-1",)
-        assert len(gateway.asked) == 3
+        gateway = querying_gateway(Fleet(), offers)
+        assert place_in_other_cells(gateway, None).servers == ("b-1",)
+        assert len(gateway.queried) == 3
 
     def test_slightly_better_offer_is_declined(self):
         """The queried cell has clients of its own."""
-        gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 190.0, [])])
-        assert widened(gateway, Place(("a-1",), 200.0)) is None
+        gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 190.0, [])])
+        assert place_in_other_cells(gateway, Place(("a-1",), 200.0)) is None
 
     def test_offer_from_unreachable_domain_is_declined(self):
         """The queried VM is reachable, but the engines of its failure domain are not."""
-        gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
+        gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
         for name in ("b-4", "b-5"):
             gateway.domains.unreached("b", name, START_MS)
-        assert widened(gateway, None) is None
-        assert all(host.startswith("10.0.0.") for host, _ in gateway.asked)
+        assert place_in_other_cells(gateway, None) is None
+        assert all(host.startswith("10.0.0.") for host, _ in gateway.queried)
 
     def test_offer_of_failed_server_is_declined(self):
-        gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
+        gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
         gateway.standing.failed("b-1", Trouble.SILENT, START_MS)
-        assert widened(gateway, None) is None
+        assert place_in_other_cells(gateway, None) is None
 
 
 class TestQueries:
@@ -226,31 +226,31 @@
         """The queried VM has been killed; the client's prompt must not wait for it."""
 
         async def run():
-            questions = Queries("10.0.0.0", PORT, lambda question: None, Counters())
-            questions.set_port(Port())
+            queries = Queries("10.0.0.0", PORT, lambda query: None, Counters())
+            queries.set_port(Port())
             began = trio.current_time()
             question = PlaceQuestion("", 0, "m", *JOB, [])
-            assert await questions.request_offers(question, [("10.0.0.1", PORT)]) == []
+            assert await queries.request_offers(question, [("10.0.0.1", PORT)]) == []
             assert trio.current_time() - began < 0.1
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_late_and_duplicate_offers_are_ignored(self):
         async def run():
-            questions = Queries("10.0.0.0", PORT, lambda question: None, Counters())
-            questions.set_port(Port())
+            queries = Queries("10.0.0.0", PORT, lambda query: None, Counters())
+            queries.set_port(Port())
             offers = []
 
             async def ask():
                 question = PlaceQuestion("", 0, "m", *JOB, [])
-                offers.extend(await questions.request_offers(question, [("10.0.0.1", PORT)]))
+                offers.extend(await queries.request_offers(question, [("10.0.0.1", PORT)]))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.testing.wait_all_tasks_blocked()
-                questions.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
-                questions.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
-            questions.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+                queries.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+                queries.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+            queries.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
             assert offers == [PlaceOffer(1, ["b-1"], 90.0, [])]
 
         trio.run(run)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -25,8 +25,10 @@
     """Return the cells of a small site: a single one, with two engines."""
     directory = Directory(5_000)
     for name in ("e1", "e2"):
-        said = Announcement(name, 1, 1, "a", host, 1, "", "m", False, False, 0, 0, 0, [], 0, 0)
-        directory.hear(said, 0)
+        announcement = Announcement(
+            name, 1, 1, "a", host, 1, "", "m", False, False, 0, 0, 0, [], 0, 0
+        )
+        directory.hear(announcement, 0)
     known = [EntryPeer(other, PORT, "a") for other in others]
     return CellView(EntryPeer(host, PORT, "a"), directory, lambda: known, lambda: 0, Quiet())
 
@@ -49,7 +51,7 @@
     )
 
 
-def began(host: str, start: str, number: int) -> WorkNews:
+def work_began(host: str, start: str, number: int) -> WorkNews:
     """Return an update that a short prompt began at one engine."""
     item = WorkBegan(number, ["e1"], 5_000, 900, 300.0, 250.0, [])
     return WorkNews(host, start, [item], [], [], [], [], "a", [], [])
@@ -70,9 +72,9 @@
         """A VM is killed with open work; it is back a second later and reports new work."""
 
         async def scenario(mine, books):
-            await mine._handle(began("10.0.0.2", "a", 1))
-            await mine._handle(began("10.0.0.2", "a", 2))
-            await mine._handle(began("10.0.0.2", "b", 1))
+            await mine._handle(work_began("10.0.0.2", "a", 1))
+            await mine._handle(work_began("10.0.0.2", "a", 2))
+            await mine._handle(work_began("10.0.0.2", "b", 1))
             assert books.open_works == 1
 
         self.run(scenario)
@@ -81,8 +83,8 @@
         """A failure domain is partitioned; updates on finished work no longer arrive."""
 
         async def scenario(mine, books):
-            await mine._handle(began("10.0.0.2", "a", 1))
-            await mine._handle(began("10.0.0.3", "a", 1))
+            await mine._handle(work_began("10.0.0.2", "a", 1))
+            await mine._handle(work_began("10.0.0.3", "a", 1))
             now = trio.current_time() * 1000
             mine.expire_peers(now + PEER_TIMEOUT_MS - 100)
             assert books.open_works == 2
@@ -101,7 +103,7 @@
 
     def test_work_of_vm_that_sends_updates_is_kept(self):
         async def scenario(mine, books):
-            await mine._handle(began("10.0.0.2", "a", 1))
+            await mine._handle(work_began("10.0.0.2", "a", 1))
             await mine._handle(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
             mine.expire_peers(trio.current_time() * 1000 + 100)
             assert books.open_works == 1
@@ -150,7 +152,7 @@
 class TestCuts:
     """VMs of a failure domain tell each other which other domains are unreachable."""
 
-    def heard(self, *news: tuple[str, str]) -> bool:
+    def is_unreachable_after(self, *news: tuple[str, str]) -> bool:
         """Return whether a VM in a deems b unreachable after reports of these (host, domain)."""
         domains = Domains()
 
@@ -163,10 +165,10 @@
         return trio.run(main)
 
     def test_reports_of_two_vms_suffice(self):
-        assert self.heard(("10.0.0.2", "a"), ("10.0.0.3", "a"))
+        assert self.is_unreachable_after(("10.0.0.2", "a"), ("10.0.0.3", "a"))
 
     def test_reports_of_one_vm_do_not_suffice(self):
-        assert not self.heard(("10.0.0.2", "a"), ("10.0.0.2", "a"))
+        assert not self.is_unreachable_after(("10.0.0.2", "a"), ("10.0.0.2", "a"))
 
     def test_reports_from_other_domains_are_ignored(self):
-        assert not self.heard(("10.0.1.2", "c"), ("10.0.1.3", "c"))
+        assert not self.is_unreachable_after(("10.0.1.2", "c"), ("10.0.1.3", "c"))
--- a/tests/gateway/test_permits.py
+++ b/tests/gateway/test_permits.py
@@ -18,12 +18,12 @@
 
 SERVER = Announcement("i-1", 1, 1, "a", "10.9.9.9", 1, "", "m", False, False, 0, 0, 0, [], 0, 0)
 RECORD = ServerRecord(SERVER, 0.0)
-SILENT_SECONDS = 0.05
+PERMIT_TIMEOUT_SECONDS = 0.05
 WARM_UP_SECONDS = 6.0
 SECONDS = 30.0
 
 
-class World:
+class Simulation:
     """A simulation of VMs that ask each other for permits, and of the server they send to."""
 
     def __init__(self, vms: int, rate: float, demand: float, seed: int):
@@ -35,9 +35,9 @@
         self.account = ServerAccount("i-1")
         self.permits = {host: self._start(host) for host in self.hosts}
         self.frozen: set[str] = set()
-        self.cut: set[str] = set()
-        self.arrived = 0
-        self.asked = 0
+        self.partitioned: set[str] = set()
+        self.sent = 0
+        self.permit_requests = 0
 
     def _start(self, host: str) -> Permits:
         peers = [EntryPeer(other, 1, self.domains[other]) for other in self.hosts if other != host]
@@ -54,7 +54,11 @@
         )
 
     def _has_quorum(self, host: str) -> bool:
-        side = len(self.cut) if host in self.cut else len(self.hosts) - len(self.cut)
+        side = (
+            len(self.partitioned)
+            if host in self.partitioned
+            else len(self.hosts) - len(self.partitioned)
+        )
         return 2 * side > len(self.hosts)
 
     def limiter(self) -> str:
@@ -65,20 +69,24 @@
         """Restart a VM, which keeps none of its state except the rate limit."""
         self.permits[host] = self._start(host)
 
-    def questions(self, host: str):
+    def queries(self, host: str):
         """Return the transport of a VM's permit requests."""
         world = self
 
-        class Questions:
-            async def request_permit(self, question: PermitRequest, other: str) -> PermitReply | None:
-                world.asked += 1
+        class Queries:
+            async def request_permit(
+                self, question: PermitRequest, other: str
+            ) -> PermitReply | None:
+                world.permit_requests += 1
                 await trio.sleep(world.rng.uniform(0.001, 0.004))
-                if other in world.frozen or (other in world.cut) != (host in world.cut):
-                    await trio.sleep(SILENT_SECONDS)
+                if other in world.frozen or (other in world.partitioned) != (
+                    host in world.partitioned
+                ):
+                    await trio.sleep(PERMIT_TIMEOUT_SECONDS)
                     return None
                 return world.permits[other].answer(question._replace(host=host))
 
-        return Questions()
+        return Queries()
 
     async def _tick_forever(self) -> None:
         while True:
@@ -88,7 +96,7 @@
             await trio.sleep(1.0)
 
     async def _send_forever(self, host: str, share: float) -> None:
-        questions = self.questions(host)
+        queries = self.queries(host)
         while True:
             await trio.sleep(self.rng.expovariate(self.demand * share))
             limits = self.permits[host]._limits
@@ -96,10 +104,10 @@
                 continue
             limit = limits.find(RECORD.start)
             patience_ms = self.rng.choice((0.0, 150.0))
-            found, _ = await self.permits[host].obtain(questions, RECORD, limit, patience_ms)
+            found, _ = await self.permits[host].obtain(queries, RECORD, limit, patience_ms)
             if isinstance(found, Permit) and host not in self.frozen:
                 await trio.sleep(self.rng.uniform(0.0, 0.02))
-                self.arrived += 1
+                self.sent += 1
                 self.account.answered(host, trio.current_time(), self.rate)
                 self.account.arrived(host, trio.current_time())
 
@@ -114,7 +122,7 @@
                 for host, weight in zip(self.hosts, weights, strict=True):
                     nursery.start_soon(self._send_forever, host, weight / sum(weights))
                 await trio.sleep(WARM_UP_SECONDS)
-                self.arrived = self.asked = 0
+                self.sent = self.permit_requests = 0
                 await faults(self)
 
 
@@ -122,11 +130,11 @@
     return trio.current_time() * 1000
 
 
-async def no_faults(world: World) -> None:
+async def no_faults(world: Simulation) -> None:
     """Inject no faults."""
 
 
-async def frozen_limiter(world: World) -> None:
+async def frozen_limiter(world: Simulation) -> None:
     """Freeze the limiter three times, for longer each time."""
     for seconds in (0.5, 3.0, 6.0):
         host = world.limiter()
@@ -136,42 +144,44 @@
         await trio.sleep(4.0)
 
 
-async def restarted_limiter(world: World) -> None:
+async def restarted_limiter(world: Simulation) -> None:
     """Restart the limiter repeatedly."""
     for _ in range(8):
         world.restart(world.limiter())
         await trio.sleep(2.0)
 
 
-async def cut_limiter(world: World) -> None:
+async def partitioned_limiter(world: Simulation) -> None:
     """Partition the limiter twice, alone and with others."""
     for count in (1, len(world.hosts) // 3):
         first = world.limiter()
         others = [host for host in world.hosts if host != first]
-        world.cut = {first, *world.rng.sample(others, count - 1)}
+        world.partitioned = {first, *world.rng.sample(others, count - 1)}
         await trio.sleep(8.0)
-        world.cut = set()
+        world.partitioned = set()
         await trio.sleep(4.0)
 
 
-async def mixed_faults(world: World) -> None:
+async def mixed_faults(world: Simulation) -> None:
     """Freeze, partition and restart VMs, with overlapping faults."""
     for _ in range(12):
         match world.rng.randrange(3):
             case 0:
                 world.frozen = set(world.rng.sample(world.hosts, 2))
             case 1:
-                world.cut = set(world.rng.sample(world.hosts, len(world.hosts) // 3))
+                world.partitioned = set(world.rng.sample(world.hosts, len(world.hosts) // 3))
             case 2:
                 world.restart(world.rng.choice(world.hosts))
         await trio.sleep(world.rng.uniform(0.2, 3.0))
         if world.rng.random() < 0.5:
-            world.frozen, world.cut = set(), set()
+            world.frozen, world.partitioned = set(), set()
 
 
-def play(vms: int, rate: float, faults, seed: int = 1, demand: float | None = None) -> World:
+def simulate(
+    vms: int, rate: float, faults, seed: int = 1, demand: float | None = None
+) -> Simulation:
     """Run one simulation in virtual time."""
-    world = World(vms, rate, 5 * rate + 5 if demand is None else demand, seed)
+    world = Simulation(vms, rate, 5 * rate + 5 if demand is None else demand, seed)
     trio.run(world.run, faults, clock=trio.testing.MockClock(autojump_threshold=0))
     return world
 
@@ -182,9 +192,9 @@
     @pytest.mark.parametrize("vms", [1, 7, 24, 420])
     @pytest.mark.parametrize("rate", [0.0, 0.5, 1.0, 10.0])
     def test_no_faults(self, vms, rate):
-        world = play(vms, rate, no_faults)
+        world = simulate(vms, rate, no_faults)
         assert not world.account.broken
-        assert world.arrived >= 0.9 * rate * SECONDS - 1
+        assert world.sent >= 0.9 * rate * SECONDS - 1
 
     @pytest.mark.parametrize("vms", [7, 24])
     @pytest.mark.parametrize("rate", [0.5, 1.0, 10.0])
@@ -194,26 +204,26 @@
         [
             (frozen_limiter, 0.55),
             (restarted_limiter, 0.35),
-            (cut_limiter, 0.4),
+            (partitioned_limiter, 0.4),
             (mixed_faults, 0.35),
         ],
     )
     def test_faults(self, faults, used, seed, rate, vms):
         """A limiter is frozen, partitioned or restarted; two VMs both granted the whole rate."""
-        world = play(vms, rate, faults, seed)
+        world = simulate(vms, rate, faults, seed)
         assert not world.account.broken, world.account.broken[:3]
-        assert world.arrived >= used * rate * SECONDS - 2
+        assert world.sent >= used * rate * SECONDS - 2
 
     def test_one_vm_has_all_clients(self):
         """Equal shares limited a VM that had all the clients to a seventh of the rate."""
-        world = play(1, 4.0, no_faults)
-        alone = world.arrived
+        world = simulate(1, 4.0, no_faults)
+        alone = world.sent
         assert alone >= 0.9 * 4.0 * SECONDS
 
     @pytest.mark.parametrize("vms", [7, 24, 420])
     def test_number_of_permit_requests(self, vms):
-        world = play(vms, 1.0, no_faults, demand=100.0)
-        assert world.asked / SECONDS <= 35
+        world = simulate(vms, 1.0, no_faults, demand=100.0)
+        assert world.permit_requests / SECONDS <= 35
 
 
 class TestChanges:
@@ -223,7 +233,7 @@
         """A VM that did not know the lower limit was granted permits at the old one."""
 
         async def run():
-            world = World(7, 50.0, 1.0, 1)
+            world = Simulation(7, 50.0, 1.0, 1)
             with trio.move_on_after(20.0):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(world._tick_forever)
@@ -235,7 +245,7 @@
                     for _ in range(100):
                         limit = limits.find(RECORD.start)
                         found, _ = await world.permits[other].obtain(
-                            world.questions(other), RECORD, limit, 0.0
+                            world.queries(other), RECORD, limit, 0.0
                         )
                         granted += isinstance(found, Permit)
                         await trio.sleep(0.04)
@@ -248,13 +258,13 @@
         """Two answers lost a long time apart made a VM treat the limiter as dead."""
 
         async def run():
-            world = World(7, 50.0, 1.0, 1)
+            world = Simulation(7, 50.0, 1.0, 1)
             first = world.limiter()
             other = next(host for host in world.hosts if host != first)
             permits, limit = world.permits[other], RateLimits()
             limit.name(RECORD.start, 50.0, 0.0)
             seen = []
-            decide = World.questions(world, other).request_permit
+            decide = Simulation.queries(world, other).request_permit
 
             async def request_permit(question, host):
                 seen.append((host, question.silent_ms))
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -12,8 +12,8 @@
     def test_exactly_one_vm_polls(self):
         for number in range(50):
             server = f"i-{number}"
-            asking = [me for me in HOSTS if is_poller(me, [h for h in HOSTS if h != me], server)]
-            assert len(asking) == 1
+            pollers = [me for me in HOSTS if is_poller(me, [h for h in HOSTS if h != me], server)]
+            assert len(pollers) == 1
 
     def test_polling_is_distributed(self):
         counts = [sum(is_poller(me, HOSTS, f"i-{number}") for number in range(200)) for me in HOSTS]
@@ -23,13 +23,13 @@
         assert all(is_poller("10.0.0.1", [], f"i-{number}") for number in range(20))
 
     def test_assignment_follows_changes(self):
-        asked = PollAssignment(HOSTS[0])
+        assignment = PollAssignment(HOSTS[0])
         servers = [f"i-{number}" for number in range(40)]
-        alone = asked.update([], servers)
+        alone = assignment.update([], servers)
         assert alone == frozenset(servers)
-        shared = asked.update(HOSTS[1:], servers)
+        shared = assignment.update(HOSTS[1:], servers)
         assert shared == {name for name in servers if is_poller(HOSTS[0], HOSTS[1:], name)}
-        assert asked.update(HOSTS[1:], servers[:20]) == shared & set(servers[:20])
+        assert assignment.update(HOSTS[1:], servers[:20]) == shared & set(servers[:20])
 
 
 class TestPolledEngines:
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -72,12 +72,12 @@
     async def connect(self, site: Site) -> None:
         """Connect an entry VM to the control VMs and to the other entry VMs."""
         self._links[site.host] = trio.CancelScope()
-        await self._nursery.start(self._talk, site)
+        await self._nursery.start(self._run_links, site)
         feeds = site.daemon._feeds
         await until(lambda: feeds.connected == len(self.controls) and site.gateway.table)
         await until(lambda: len(feeds.peers) >= len(self._links) - 1, 8.0)
 
-    async def _talk(self, site: Site, task_status=trio.TASK_STATUS_IGNORED) -> None:
+    async def _run_links(self, site: Site, task_status=trio.TASK_STATUS_IGNORED) -> None:
         settings = site.gateway.settings
         with self._links[site.host]:
             port = await open_datagram_port(
@@ -91,7 +91,7 @@
                     task_status.started()
                     await trio.sleep_forever()
 
-    async def cut_off(self, site: Site) -> None:
+    async def partition(self, site: Site) -> None:
         """Partition an entry VM from all other VMs; servers and clients still reach it."""
         self._links.pop(site.host).cancel()
         await trio.testing.wait_all_tasks_blocked(0.05)
@@ -104,28 +104,30 @@
     async def start_servers(self, service_scripts: Iterable, **traits) -> list[StandinServer]:
         """Start one server per script; a server that crashes restarts under a new name."""
         for number, script in enumerate(service_scripts):
-            server = StandinServer(f"i-{number}", on_back=self._back(number), **traits)
+            server = StandinServer(
+                f"i-{number}", on_restart=self._rename_and_announce(number), **traits
+            )
             server.script.extend(script)
             await self._nursery.start(server.serve)
             self.servers.append(server)
             self.announce(server)
         return self.servers
 
-    def _back(self, number: int) -> Callable[[StandinServer], None]:
+    def _rename_and_announce(self, number: int) -> Callable[[StandinServer], None]:
         def back(server: StandinServer) -> None:
             server.name = f"i-{number}-{server.starts}"
             self.announce(server)
 
         return back
 
-    def sendings(self, body: bytes) -> int:
+    def send_count(self, body: bytes) -> int:
         """Return how many times a request has reached a server."""
         return sum(seen.body == body for server in self.servers for seen in server.seen)
 
     @property
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Return how many times servers have crashed."""
-        return sum(server.ends for server in self.servers)
+        return sum(server.crash_count for server in self.servers)
 
 
 @asynccontextmanager
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -114,7 +114,7 @@
         leaving: bool = False,
     ) -> None:
         """Announce a server, optionally with its start time, as ready or leaving."""
-        said = {
+        heartbeat = {
             "service": service,
             "address": f"{server.host}:{server.port}",
             "zone": "a",
@@ -122,8 +122,8 @@
             "state": "draining" if leaving else "ready",
         }
         if started is not None:
-            said["born"] = started
-        body = json.dumps(said)
+            heartbeat["born"] = started
+        body = json.dumps(heartbeat)
         self.daemon._on_announcements([announcement_from(server.name, body.encode()).ok])
 
     async def connect(self) -> trio.SocketStream:
@@ -152,8 +152,8 @@
 
 def request_bytes(path: str, request_id: str = "r1", body: bytes = b"", **headers) -> bytes:
     """Return the bytes of one request; underscores in header names become dashes."""
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    fields = {"Request-Id": request_id, "Api-Key": KEY, "Deadline-Ms": "2500", **named}
+    extra = {name.replace("_", "-"): value for name, value in headers.items()}
+    fields = {"Request-Id": request_id, "Api-Key": KEY, "Deadline-Ms": "2500", **extra}
     lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in fields.items() if value is not None]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/platform/standin_server.py
+++ b/tests/platform/standin_server.py
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """One request as received by the server."""
 
     head: str
@@ -94,23 +94,24 @@
     the server is ``leaving``. ``account`` records whether VMs comply; at its end, every test checks
     the accounts of all its servers.
 
-    A request whose body is in ``deadly`` crashes the whole process ``dies_after`` seconds later,
-    with everything open there. It restarts ``back_after`` seconds after that and calls ``on_back``.
+    A request whose body is in ``crashing_bodies`` crashes the process ``crash_after`` seconds
+    later, with everything open there. It restarts ``restart_after`` seconds after that and calls
+    ``on_restart``.
     """
 
     name: str
     script: deque[Behaviour] = field(default_factory=deque)
-    seen: list[Seen] = field(default_factory=list)
+    seen: list[ReceivedRequest] = field(default_factory=list)
     closed: list[int] = field(default_factory=list)
     connections: int = 0
     host: str = "127.0.0.1"
     port: int = 0
-    deadly: frozenset[bytes] = frozenset()
-    dies_after: float = 0.05
-    back_after: float = 0.4
+    crashing_bodies: frozenset[bytes] = frozenset()
+    crash_after: float = 0.05
+    restart_after: float = 0.4
     starts: int = 1
-    on_back: Callable[["StandinServer"], None] = lambda server: None
-    life: trio.CancelScope | None = None
+    on_restart: Callable[["StandinServer"], None] = lambda server: None
+    process: trio.CancelScope | None = None
     rate_limit: float | None = None
     leaving: bool = False
     account: ServerAccount = field(init=False)
@@ -131,22 +132,22 @@
                 if self.starts == 1:
                     task_status.started()
                 else:
-                    self.on_back(self)
-                with trio.CancelScope() as self.life:
+                    self.on_restart(self)
+                with trio.CancelScope() as self.process:
                     await trio.serve_listeners(self._serve_one, listeners)
-                await trio.sleep(self.back_after)
+                await trio.sleep(self.restart_after)
                 self.starts += 1
                 self.account.restarted()
 
     @property
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Return how many times the process has crashed."""
-        return self.starts - 1 + self.life.cancel_called
+        return self.starts - 1 + self.process.cancel_called
 
-    async def _end_soon(self) -> None:
-        life = self.life
-        await trio.sleep(self.dies_after)
-        life.cancel()
+    async def _crash_soon(self) -> None:
+        process = self.process
+        await trio.sleep(self.crash_after)
+        process.cancel()
 
     async def _serve_one(self, stream: trio.SocketStream) -> None:
         self.connections += 1
@@ -169,11 +170,11 @@
                 body, buffered = buffered[:length], buffered[length:]
                 behaviour = self._next()
                 ran = not isinstance(behaviour, Refuse)
-                self.seen.append(Seen(lines[0], body, headers, number, ran))
+                self.seen.append(ReceivedRequest(lines[0], body, headers, number, ran))
                 if "Request-Id" in headers:
                     self.account.arrived(vm, trio.current_time())
-                if body in self.deadly:
-                    self._nursery.start_soon(self._end_soon)
+                if body in self.crashing_bodies:
+                    self._nursery.start_soon(self._crash_soon)
                 if not await self._answer(stream, vm, headers, behaviour):
                     return
         except trio.BrokenResourceError:
@@ -185,12 +186,14 @@
     def _next(self) -> Behaviour:
         return self.script.popleft() if len(self.script) > 1 else self.script[0]
 
-    def _asks(self, vm: str, back_off: float | None = None, told: bool = True) -> list[bytes]:
+    def _restriction_headers(
+        self, vm: str, back_off: float | None = None, effective: bool = True
+    ) -> list[bytes]:
         """Return the header lines with the restrictions in a response to a VM.
 
-        ``told`` is False for a response whose restrictions the VM must ignore.
+        ``effective`` is False for a response whose restrictions the VM must ignore.
         """
-        if told:
+        if effective:
             now = trio.current_time()
             self.account.answered(vm, now, self.rate_limit, back_off, self.leaving)
         lines = []
@@ -209,11 +212,11 @@
         match behaviour:
             case Whole() as whole:
                 await trio.sleep(whole.begin_after)
-                asks = self._asks(vm, told=whole.request_id is None)
+                asks = self._restriction_headers(vm, effective=whole.request_id is None)
                 await stream.send_all(_whole(whole, request_id, asks) + whole.after)
                 return True
             case Refuse(status=status, headers=more, back_off=back_off):
-                asks = self._asks(vm, back_off)
+                asks = self._restriction_headers(vm, back_off)
                 lines = [b"HTTP/1.1 %d No" % status, b"Content-Length: 0", *more, *asks]
                 await stream.send_all(b"\r\n".join(lines) + b"\r\n\r\n")
                 return True
@@ -223,7 +226,9 @@
                 return False
             case Events() as events:
                 await trio.sleep(events.begin_after)
-                return await _events(stream, events, request_id, headers, self._asks(vm))
+                return await _events(
+                    stream, events, request_id, headers, self._restriction_headers(vm)
+                )
             case Silent():
                 await stream.receive_some()
                 return False
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -9,7 +9,7 @@
 from siskinspoke.platform.control_app import announcement_from, deregistration_from
 from siskinspoke.platform.orders import decode_report
 
-BEAT = {
+HEARTBEAT = {
     "service": "engines",
     "address": "10.0.0.9:8080",
     "zone": "a",
@@ -23,9 +23,9 @@
 FUZZ_ROUNDS = 3_000
 
 
-def beat(**changes) -> bytes:
+def heartbeat(**changes) -> bytes:
     """Return the body of a heartbeat with some fields changed; None leaves a field out."""
-    fields = {name: value for name, value in {**BEAT, **changes}.items() if value is not None}
+    fields = {name: value for name, value in {**HEARTBEAT, **changes}.items() if value is not None}
     return msgspec.json.encode(fields)
 
 
@@ -33,15 +33,19 @@
     """A heartbeat is accepted completely or not at all."""
 
     def test_start_time_and_sequence_number(self):
-        said = announcement_from("i-1", beat()).ok
-        assert (said.incarnation, said.seq) == (BEAT["born"], 4)
-        assert (said.host, said.port, said.leaving) == ("10.0.0.9", 8080, False)
+        announcement = announcement_from("i-1", heartbeat()).ok
+        assert (announcement.incarnation, announcement.seq) == (HEARTBEAT["born"], 4)
+        assert (announcement.host, announcement.port, announcement.leaving) == (
+            "10.0.0.9",
+            8080,
+            False,
+        )
 
     def test_start_left_out(self):
-        assert announcement_from("i-1", beat(born=None)).ok.incarnation == UNDATED
+        assert announcement_from("i-1", heartbeat(born=None)).ok.incarnation == UNDATED
 
     def test_leaving(self):
-        assert announcement_from("i-1", beat(state="draining")).ok.leaving
+        assert announcement_from("i-1", heartbeat(state="draining")).ok.leaving
 
     @pytest.mark.parametrize(
         "body",
@@ -50,21 +54,21 @@
             b"\xff\xfe\x00",
             b"[]",
             b'{"service":',
-            beat(service=None),
-            beat(address=None),
-            beat(zone=None),
-            beat(seq=None),
-            beat(service=7),
-            beat(address="10.0.0.9"),
-            beat(address="10.0.0.9:http"),
-            beat(seq="4"),
-            beat(seq=True),
-            beat(seq=4.5),
-            beat(state="sleeping"),
-            beat(state=1),
-            beat(born="1790000000123"),
-            beat(born=1.5),
-            beat(born=True),
+            heartbeat(service=None),
+            heartbeat(address=None),
+            heartbeat(zone=None),
+            heartbeat(seq=None),
+            heartbeat(service=7),
+            heartbeat(address="10.0.0.9"),
+            heartbeat(address="10.0.0.9:http"),
+            heartbeat(seq="4"),
+            heartbeat(seq=True),
+            heartbeat(seq=4.5),
+            heartbeat(state="sleeping"),
+            heartbeat(state=1),
+            heartbeat(born="1790000000123"),
+            heartbeat(born=1.5),
+            heartbeat(born=True),
         ],
     )
     def test_invalid(self, body):
@@ -73,34 +77,34 @@
     def test_corrupt_bytes_never_raise(self):
         """Corrupt or foreign input must yield an error with a message, never an exception."""
         rng = random.Random(FUZZ_SEED)
-        whole = beat()
+        whole = heartbeat()
         for _ in range(FUZZ_ROUNDS):
-            spoilt = bytearray(whole[: rng.randint(0, len(whole))])
+            corrupt = bytearray(whole[: rng.randint(0, len(whole))])
             for _ in range(rng.randint(0, 4)):
-                if spoilt:
-                    spoilt[rng.randrange(len(spoilt))] = rng.randrange(256)
+                if corrupt:
+                    corrupt[rng.randrange(len(corrupt))] = rng.randrange(256)
             for read in (
-                announcement_from("i-1", bytes(spoilt)),
-                deregistration_from("i-1", bytes(spoilt), None),
+                announcement_from("i-1", bytes(corrupt)),
+                deregistration_from("i-1", bytes(corrupt), None),
             ):
                 assert read.is_ok() or read.error.message
-            decode_report(200, bytes(spoilt))
+            decode_report(200, bytes(corrupt))
 
 
 class TestDeregistrations:
     """A deregistration applies to the server process whose start time it names."""
 
     def test_named_start_time(self):
-        known = announcement_from("i-1", beat()).ok
+        known = announcement_from("i-1", heartbeat()).ok
         former = deregistration_from("i-1", b'{"born":1}', known).ok
         assert (former.incarnation, former.leaving) == (1, True)
 
     def test_empty_body_means_latest_start_time(self):
-        known = announcement_from("i-1", beat()).ok
-        assert deregistration_from("i-1", b"", known).ok.incarnation == BEAT["born"]
+        known = announcement_from("i-1", heartbeat()).ok
+        assert deregistration_from("i-1", b"", known).ok.incarnation == HEARTBEAT["born"]
 
     def test_supersedes_all_heartbeats_of_same_process(self):
-        known = announcement_from("i-1", beat(seq=10**9)).ok
+        known = announcement_from("i-1", heartbeat(seq=10**9)).ok
         assert deregistration_from("i-1", b"", known).ok.seq > 10**9
 
     def test_unreadable(self):
--- a/tests/platform/test_back_off.py
+++ b/tests/platform/test_back_off.py
@@ -11,11 +11,11 @@
 from tests.platform.test_rate_limits import retry_after
 from tests.platform.test_streams import PROMPT
 
-SECONDS = 2.0
-RESTS = Refuse(back_off=SECONDS)
+BACK_OFF_SECONDS = 2.0
+BACK_OFF_REFUSAL = Refuse(back_off=BACK_OFF_SECONDS)
 
 
-async def press(site: Site, path: str, seconds: float = SECONDS + 0.5, **headers) -> list:
+async def press(site: Site, path: str, seconds: float = BACK_OFF_SECONDS + 0.5, **headers) -> list:
     """Send twenty requests a second; return the responses."""
     answers = []
 
@@ -38,43 +38,43 @@
     """A server gets no requests from a VM for the time that it asked for."""
 
     @pytest.mark.parametrize(
-        ("service", "path", "more", "sound"),
+        ("service", "path", "more", "healthy"),
         [
             ("plain", "/again/x", {}, Whole(begin_after=0.15)),
             ("engines", "/stream/x", PROMPT, Events()),
         ],
     )
-    def test_one_server_backs_off(self, service, path, more, sound, tmp_path):
+    def test_one_server_backs_off(self, service, path, more, healthy, tmp_path):
         """A server asked for a back-off of 3 s and still got requests every 0.2 s."""
 
         async def run():
-            async with gateway_site(tmp_path) as site, servers(site, service, [RESTS]):
+            async with gateway_site(tmp_path) as site, servers(site, service, [BACK_OFF_REFUSAL]):
                 assert (await site.ask(path, **more)).status == 503
-                async with servers(site, service, [sound], [sound], first=1):
+                async with servers(site, service, [healthy], [healthy], first=1):
                     answers = await press(site, path, **more)
                 assert all(answer.status == 200 for answer in answers)
 
         trio.run(run)
 
     @pytest.mark.parametrize(
-        ("service", "path", "more", "sound"),
+        ("service", "path", "more", "healthy"),
         [("plain", "/once/x", {}, Whole()), ("engines", "/stream/x", PROMPT, Events())],
     )
-    def test_all_servers_back_off(self, service, path, more, sound, tmp_path):
+    def test_all_servers_back_off(self, service, path, more, healthy, tmp_path):
         """With all servers in back-off, half of them were used anyway."""
 
         async def run():
-            script = [RESTS, sound]
+            script = [BACK_OFF_REFUSAL, healthy]
             async with (
                 gateway_site(tmp_path) as site,
-                servers(site, service, script, script, script) as rested,
+                servers(site, service, script, script, script) as backed_off,
             ):
                 for number in range(3):
                     assert (await site.ask(path, f"first-{number}", **more)).status in (200, 503)
                 answer = await site.ask(path, **more)
                 assert answer.status == 503
-                assert 0.5 * SECONDS <= retry_after(answer) <= SECONDS + 1
-                assert sum(arrivals(server) for server in rested) == 3
+                assert 0.5 * BACK_OFF_SECONDS <= retry_after(answer) <= BACK_OFF_SECONDS + 1
+                assert sum(arrivals(server) for server in backed_off) == 3
                 await trio.sleep(retry_after(answer))
                 assert (await site.ask(path, **more)).status == 200
 
@@ -86,7 +86,7 @@
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
-                servers(site, "engines", [RESTS], [Events()]) as (one, _),
+                servers(site, "engines", [BACK_OFF_REFUSAL], [Events()]) as (one, _),
             ):
                 record = site.gateway.directory.latest(one.name)
                 await reports._poll(site.gateway, record)
--- a/tests/platform/test_control_app.py
+++ b/tests/platform/test_control_app.py
@@ -22,16 +22,16 @@
     followers = 1
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     def tell(self, announcements):
         """Record the announcements sent to the follower."""
-        self.told += announcements
-        return len(self.told)
+        self.sent += announcements
+        return len(self.sent)
 
     def tell_soon(self, announcements):
         """Record the announcements sent to the follower."""
-        self.told += announcements
+        self.sent += announcements
 
     def renew(self, announcement):
         """Ignore renewals."""
@@ -52,7 +52,7 @@
         registry.attach(self.hub)
         self.app = ControlApp(ControlParts(registry, self.counters, Latencies(), Quiet()))
 
-    async def beat(self, server, **changes):
+    async def heartbeat(self, server, **changes):
         """Send a heartbeat; return the response status."""
         fields = {
             "service": "engines",
@@ -81,8 +81,8 @@
 
         async def run():
             control = Control()
-            assert await control.beat("i-1") == 200
-            strange = [
+            assert await control.heartbeat("i-1") == 200
+            invalid = [
                 ("i-1", {"address": "10.0.0.66:8080", "seq": 99}),
                 ("i-1", {"service": "other", "seq": 99}),
                 ("i-2", {"state": "asleep"}),
@@ -90,11 +90,11 @@
                 ("i-2", {"born": 1.5}),
                 ("i%202", {}),
             ]
-            for server, changes in strange:
-                assert await control.beat(server, **changes) == 400
+            for server, changes in invalid:
+                assert await control.heartbeat(server, **changes) == 400
             assert await control.post("/instances/i-2/heartbeat", b"\xff{") == 400
             assert control.live() == [("i-1", 1_000)]
-            assert len(control.hub.told) == 1
+            assert len(control.hub.sent) == 1
 
         trio.run(run)
 
@@ -105,8 +105,8 @@
     def test_lower_sequence_number_after_restart(self):
         async def run():
             control = Control()
-            await control.beat("i-1", seq=90)
-            assert await control.beat("i-1", seq=1, born=2_000) == 200
+            await control.heartbeat("i-1", seq=90)
+            assert await control.heartbeat("i-1", seq=1, born=2_000) == 200
             assert control.live() == [("i-1", 2_000)]
 
         trio.run(run)
@@ -114,10 +114,10 @@
     def test_restart_after_deregistration(self):
         async def run():
             control = Control()
-            await control.beat("i-1", seq=90)
+            await control.heartbeat("i-1", seq=90)
             assert await control.post("/instances/i-1/deregister") == 200
             assert control.live() == []
-            assert await control.beat("i-1", seq=1, born=2_000) == 200
+            assert await control.heartbeat("i-1", seq=1, born=2_000) == 200
             assert control.live() == [("i-1", 2_000)]
 
         trio.run(run)
@@ -127,8 +127,8 @@
 
         async def run():
             control = Control()
-            await control.beat("i-1", seq=90)
-            await control.beat("i-1", seq=1, born=2_000)
+            await control.heartbeat("i-1", seq=90)
+            await control.heartbeat("i-1", seq=1, born=2_000)
             assert await control.post("/instances/i-1/deregister", b'{"born":1000}') == 200
             assert control.live() == [("i-1", 2_000)]
             assert await control.post("/instances/i-1/deregister", b'{"born":2000}') == 200
@@ -154,7 +154,7 @@
         async def run():
             control = Control()
             control.hub.tell_soon = None
-            assert await control.beat("i-1") == 500
+            assert await control.heartbeat("i-1") == 500
             control.hub = Hub()
             assert control.counters.totals["fault"]
 
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -17,21 +17,21 @@
 from tests.platform.standin_server import Events, StandinServer, Whole
 from tests.platform.test_streams import PROMPT
 
-DEADLY = b"what no engine survives"
-SOUND = b"what any engine answers"
+CRASHING_BODY = b"what no engine survives"
+HARMLESS_BODY = b"what any engine answers"
 # Three servers may crash before the request is identified, and three more sends may follow.
-KNOWN_AFTER = 3
-MOST_SENDINGS = KNOWN_AFTER + 3
+CRASHES_TO_QUARANTINE = 3
+MAX_SENDS = CRASHES_TO_QUARANTINE + 3
 # Every VM must have identified the request within this time of the third crash.
 SETTLE_SECONDS = 3.0
 PAUSE_SECONDS = 0.1
 
 
 @asynccontextmanager
-async def mortal_servers(site, service: str, count: int, script, renamed: bool):
-    """Run servers that crash on the deadly request and announce themselves after a restart."""
+async def crashing_servers(site, service: str, count: int, script, renamed: bool):
+    """Run servers that crash on CRASHING_BODY and announce themselves after a restart."""
 
-    def back(server: StandinServer) -> None:
+    def announce_restart(server: StandinServer) -> None:
         if renamed:
             server.name = f"{server.name.split('.')[0]}.{server.starts}"
             site.announce(server, service)
@@ -42,7 +42,10 @@
         running = []
         for number in range(count):
             server = StandinServer(
-                f"i-{number}", deadly=frozenset({DEADLY}), on_back=back, back_after=0.4
+                f"i-{number}",
+                crashing_bodies=frozenset({CRASHING_BODY}),
+                on_restart=announce_restart,
+                restart_after=0.4,
             )
             server.script.extend(script)
             await nursery.start(server.serve)
@@ -52,7 +55,7 @@
         nursery.cancel_scope.cancel()
 
 
-def sendings(running, body: bytes = DEADLY) -> int:
+def send_count(running, body: bytes = CRASHING_BODY) -> int:
     """Return how many times a request has reached a server."""
     return sum(seen.body == body for server in running for seen in server.seen)
 
@@ -80,13 +83,13 @@
         async def run():
             async with (
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
-                mortal_servers(site, service, 8, script, renamed) as running,
+                crashing_servers(site, service, 8, script, renamed) as running,
             ):
                 prompt = PROMPT if service == "engines" else {}
                 for number in range(10):
-                    answer = await site.ask(path, f"r{number}", DEADLY, **prompt)
+                    answer = await site.ask(path, f"r{number}", CRASHING_BODY, **prompt)
                     await trio.sleep(PAUSE_SECONDS)
-                assert KNOWN_AFTER <= sendings(running) <= MOST_SENDINGS
+                assert CRASHES_TO_QUARANTINE <= send_count(running) <= MAX_SENDS
                 assert says_not_run(answer)
 
         trio.run(run)
@@ -105,7 +108,7 @@
         async def run():
             async with (
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
-                mortal_servers(
+                crashing_servers(
                     site, "engines", 4, [Events(last=15, pause=0.1)], renamed
                 ) as running,
             ):
@@ -113,7 +116,7 @@
                 refused: list[bytes] = []
 
                 async def bystander(number: int) -> None:
-                    body = SOUND + b" %d" % number
+                    body = HARMLESS_BODY + b" %d" % number
                     for turn in range(5):
                         request_id = f"s{number}.{turn}"
                         answer = await site.ask(
@@ -130,11 +133,11 @@
                         nursery.start_soon(bystander, number)
                     await trio.sleep(0.3)
                     for number in range(10):
-                        await site.ask("/stream/x", f"r{number}", DEADLY, **PROMPT)
+                        await site.ask("/stream/x", f"r{number}", CRASHING_BODY, **PROMPT)
                         await trio.sleep(PAUSE_SECONDS)
                 assert len(served) == 6
                 assert not any(b"QUARANTINED" in raw for raw in refused)
-                assert sendings(running) <= MOST_SENDINGS
+                assert send_count(running) <= MAX_SENDS
 
         trio.run(run)
 
@@ -146,35 +149,37 @@
         async def main():
             async with fleet(tmp_path, 3) as site:
                 script = [Events(last=10, pause=0.05)]
-                await site.start_servers([script] * 8, deadly=frozenset({DEADLY}))
+                await site.start_servers([script] * 8, crashing_bodies=frozenset({CRASHING_BODY}))
                 await scenario(site)
 
         trio.run(main)
 
-    async def come(self, sites, times: int, named: str) -> list:
+    async def send_repeatedly(self, sites, times: int, id_prefix: str) -> list:
         """Send the request to the VMs in turn, ``times`` times; return the responses."""
         answers = []
         for number in range(times):
             vm = sites[number % len(sites)]
-            answers.append(await vm.ask("/stream/x", f"{named}{number}", DEADLY, **PROMPT))
+            answers.append(
+                await vm.ask("/stream/x", f"{id_prefix}{number}", CRASHING_BODY, **PROMPT)
+            )
             await trio.sleep(PAUSE_SECONDS)
         return answers
 
-    async def assert_known(self, site, vms) -> None:
+    async def assert_quarantined(self, site, vms) -> None:
         """Assert that none of these VMs forwards the request any more."""
-        before = site.sendings(DEADLY)
-        answers = await self.come(vms, 2 * len(vms) + 4, "later")
-        assert site.sendings(DEADLY) - before <= 3
+        before = site.send_count(CRASHING_BODY)
+        answers = await self.send_repeatedly(vms, 2 * len(vms) + 4, "later")
+        assert site.send_count(CRASHING_BODY) - before <= 3
         assert all(says_not_run(answer) for answer in answers[-len(vms) :])
 
     def test_arrives_at_any_vm(self, tmp_path):
         """Each VM saw one engine crash or none, and counted from zero."""
 
         async def scenario(site):
-            await self.come(site.sites, 6, "first")
-            assert site.ends >= KNOWN_AFTER
+            await self.send_repeatedly(site.sites, 6, "first")
+            assert site.crash_count >= CRASHES_TO_QUARANTINE
             await trio.sleep(SETTLE_SECONDS)
-            await self.assert_known(site, site.sites)
+            await self.assert_quarantined(site, site.sites)
 
         self.run(tmp_path, scenario)
 
@@ -184,10 +189,10 @@
         async def scenario(site):
             async with trio.open_nursery() as nursery:
                 for vm in site.sites:
-                    nursery.start_soon(self.come, [vm], 3, vm.host)
-            assert site.ends >= KNOWN_AFTER
+                    nursery.start_soon(self.send_repeatedly, [vm], 3, vm.host)
+            assert site.crash_count >= CRASHES_TO_QUARANTINE
             await trio.sleep(SETTLE_SECONDS)
-            await self.assert_known(site, site.sites)
+            await self.assert_quarantined(site, site.sites)
 
         self.run(tmp_path, scenario)
 
@@ -195,10 +200,10 @@
         """A VM starts after the others have identified the request, and then receives it."""
 
         async def scenario(site):
-            await self.come(site.sites, 6, "first")
+            await self.send_repeatedly(site.sites, 6, "first")
             await trio.sleep(SETTLE_SECONDS)
             newcomer = await site.start_vm()
-            await self.assert_known(site, [newcomer])
+            await self.assert_quarantined(site, [newcomer])
 
         self.run(tmp_path, scenario)
 
@@ -207,11 +212,11 @@
 
         async def scenario(site):
             *others, away = site.sites
-            await site.cut_off(away)
-            await self.come(others, 6, "first")
+            await site.partition(away)
+            await self.send_repeatedly(others, 6, "first")
             await site.connect(away)
             await trio.sleep(SETTLE_SECONDS)
-            await self.assert_known(site, [away])
+            await self.assert_quarantined(site, [away])
 
         self.run(tmp_path, scenario)
 
@@ -223,13 +228,13 @@
 
         async def scenario(site):
             *others, away = site.sites
-            await site.cut_off(away)
-            await self.come([away], 6, "first")
+            await site.partition(away)
+            await self.send_repeatedly([away], 6, "first")
             await trio.sleep(SETTLE_SECONDS)
-            await self.assert_known(site, [away])
+            await self.assert_quarantined(site, [away])
             await site.connect(away)
             await trio.sleep(SETTLE_SECONDS)
-            await self.assert_known(site, others)
+            await self.assert_quarantined(site, others)
 
         self.run(tmp_path, scenario)
 
@@ -244,12 +249,12 @@
             script = [Events(last=2, then="cut")]
             async with (
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
-                mortal_servers(site, "engines", 4, script, renamed=False) as running,
+                crashing_servers(site, "engines", 4, script, renamed=False) as running,
             ):
                 for number in range(8):
-                    answer = await site.ask("/stream/x", f"r{number}", SOUND, **PROMPT)
+                    answer = await site.ask("/stream/x", f"r{number}", HARMLESS_BODY, **PROMPT)
                     assert answer.status == 200
-                assert sendings(running, SOUND) == 16
+                assert send_count(running, HARMLESS_BODY) == 16
                 assert site.gateway.crashes.ledger.is_empty
 
         trio.run(run)
@@ -261,15 +266,15 @@
             script = [Events(last=40, pause=0.1)]
             async with (
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
-                mortal_servers(site, "engines", 5, script, renamed=True) as running,
+                crashing_servers(site, "engines", 5, script, renamed=True) as running,
             ):
                 async with site.asking(
-                    "/stream/x", body=SOUND, Deadline_Ms="9000", **PROMPT
+                    "/stream/x", body=HARMLESS_BODY, Deadline_Ms="9000", **PROMPT
                 ) as got:
                     for _ in range(3):
                         holder = await holder_of(running)
                         site.announce(holder, "engines", seq=10, leaving=True)
-                        holder.life.cancel()
+                        holder.process.cancel()
                 assert got[0].whole
                 assert site.gateway.crashes.ledger.is_empty
 
@@ -281,7 +286,7 @@
         async def run():
             async with (
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
-                mortal_servers(
+                crashing_servers(
                     site, "plain", 4, [Whole(begin_after=0.1)], renamed=False
                 ) as running,
             ):
@@ -289,7 +294,9 @@
 
                 async def caller(name: str) -> None:
                     for number in range(15):
-                        answers.append(await site.ask("/again/x", f"{name}.{number}", SOUND))
+                        answers.append(
+                            await site.ask("/again/x", f"{name}.{number}", HARMLESS_BODY)
+                        )
                         await trio.sleep(0.02)
 
                 async with trio.open_nursery() as nursery:
@@ -297,9 +304,9 @@
                         nursery.start_soon(caller, name)
                     for number in range(8):
                         await trio.sleep(0.2)
-                        running[number % 4].life.cancel()
+                        running[number % 4].process.cancel()
                 assert not any(b"QUARANTINED" in answer.raw for answer in answers)
-                assert site.gateway.counters.totals["crash.found"] >= KNOWN_AFTER
+                assert site.gateway.counters.totals["crash.found"] >= CRASHES_TO_QUARANTINE
                 assert "quarantine.began" not in site.gateway.counters.totals
 
         trio.run(run)
@@ -309,7 +316,7 @@
     """Return the server that runs a stream, once the stream has reached it."""
 
     def holders() -> list[StandinServer]:
-        alive = [server for server in running if not server.life.cancel_called]
+        alive = [server for server in running if not server.process.cancel_called]
         return [server for server in alive if len(server.seen) > len(server.closed)]
 
     await until(holders)
--- a/tests/platform/test_false_crashes.py
+++ b/tests/platform/test_false_crashes.py
@@ -10,7 +10,7 @@
 from tests.platform.test_silence import whole_stream
 from tests.platform.test_streams import PROMPT, data_of
 
-CUT_SECONDS = 0.6
+PARTITION_SECONDS = 0.6
 
 
 class Firewall:
@@ -18,20 +18,20 @@
 
     def __init__(self, monkeypatch):
         self.refuses: set[int] | None = set()
-        self.silent_tries = 0
+        self.hanging_attempts = 0
         self._connect = reaching.connect
         monkeypatch.setattr(reaching, "connect", self._open)
 
     async def _open(self, host, port, *more):
         if self.refuses is None or port in self.refuses:
-            if self.silent_tries:
-                self.silent_tries -= 1
+            if self.hanging_attempts:
+                self.hanging_attempts -= 1
                 await trio.sleep_forever()
             raise ConnectionRefusedError
         return await self._connect(host, port, *more)
 
 
-def crashes(site) -> list[str]:
+def crashed_servers(site) -> list[str]:
     """Return the names of the servers that this VM considers crashed."""
     return [crash.start[0] for crash in site.gateway.crashes.ledger.crashes]
 
@@ -56,11 +56,11 @@
                     firewall.refuses = None
                     await until(lambda: site.gateway.counters.totals.get("crash.doubted"))
                     assert site.gateway.domains.cut_now(reaching.now_ms())
-                    await trio.sleep(CUT_SECONDS)
-                    assert crashes(site) == []
+                    await trio.sleep(PARTITION_SECONDS)
+                    assert crashed_servers(site) == []
                     firewall.refuses = set()
                     await until(lambda: answers)
-                assert crashes(site) == []
+                assert crashed_servers(site) == []
                 assert data_of(answers[0].body) == whole_stream(4)
 
         trio.run(run)
@@ -81,8 +81,8 @@
                 firewall.refuses = None
                 await until(lambda: site.gateway.counters.totals.get("crash.doubted"))
                 firewall.refuses = {dead.port}
-                await until(lambda: crashes(site))
-                assert crashes(site)[0] == dead.name
+                await until(lambda: crashed_servers(site))
+                assert crashed_servers(site)[0] == dead.name
 
         trio.run(run)
 
@@ -91,7 +91,7 @@
     """The VM is paused while it probes a server, and does not even receive the refusal."""
 
     def test_crash_is_detected_by_later_probe(self, tmp_path, monkeypatch):
-        """One timed-out probe was final, so a deadly request was forwarded without end."""
+        """One timed-out probe was final, so a crashing request was forwarded without end."""
 
         async def run():
             firewall = Firewall(monkeypatch)
@@ -103,8 +103,8 @@
             ):
                 await until(lambda: any(server.seen for server in running))
                 dead = next(server for server in running if server.seen)
-                firewall.refuses, firewall.silent_tries = {dead.port}, 2
-                await until(lambda: crashes(site))
-                assert crashes(site)[0] == dead.name
+                firewall.refuses, firewall.hanging_attempts = {dead.port}, 2
+                await until(lambda: crashed_servers(site))
+                assert crashed_servers(site)[0] == dead.name
 
         trio.run(run)
--- a/tests/platform/test_rate_limits.py
+++ b/tests/platform/test_rate_limits.py
@@ -11,7 +11,7 @@
 from tests.platform.test_streams import PROMPT
 
 SECONDS = 5.0
-EVERY_SECONDS = 0.1
+SEND_INTERVAL_SECONDS = 0.1
 
 
 def retry_after(answer: Answer) -> float:
@@ -20,7 +20,7 @@
     return next(float(line.split(": ")[1]) for line in lines if line.startswith("Retry-After"))
 
 
-async def press(running: Fleet, path: str, seconds: float = SECONDS, **headers) -> list:
+async def send_requests(running: Fleet, path: str, seconds: float = SECONDS, **headers) -> list:
     """Send ten requests a second to each VM; return the responses."""
     answers = []
 
@@ -28,10 +28,10 @@
         answers.append(await site.ask(path, request_id, **headers))
 
     async with trio.open_nursery() as nursery:
-        for number in range(round(seconds / EVERY_SECONDS)):
+        for number in range(round(seconds / SEND_INTERVAL_SECONDS)):
             for index, site in enumerate(running.sites):
                 nursery.start_soon(ask, site, f"r{index}-{number}")
-            await trio.sleep(EVERY_SECONDS)
+            await trio.sleep(SEND_INTERVAL_SECONDS)
     return answers
 
 
@@ -47,7 +47,7 @@
                 scripts = [[Events()] for _ in range(4)]
                 for server in (await running.start_servers(scripts))[:3]:
                     server.rate_limit = rate
-                answers = await press(running, "/stream/x", **PROMPT)
+                answers = await send_requests(running, "/stream/x", **PROMPT)
                 assert all(answer.status == 200 for answer in answers)
 
         trio.run(run)
@@ -60,7 +60,7 @@
                 running.service = "plain"
                 servers = await running.start_servers([[Whole()], [Whole()], [Whole()]])
                 servers[0].rate_limit = 1.0
-                answers = await press(running, "/again/x")
+                answers = await send_requests(running, "/again/x")
                 assert all(answer.status == 200 for answer in answers)
 
         trio.run(run)
@@ -77,7 +77,7 @@
                 running.service = service
                 for server in await running.start_servers([[behaviour], [behaviour]]):
                     server.rate_limit = 3.0
-                answers = await press(running, path, **more)
+                answers = await send_requests(running, path, **more)
                 served = [answer for answer in answers if answer.status == 200]
                 refused = [answer for answer in answers if answer.status == 503]
                 assert len(served) + len(refused) == len(answers)
@@ -97,9 +97,9 @@
                 limiters = running.sites[0].gateway.permits._limiters("i-0", "a")
                 first = next(site for site in running.sites if site.host == limiters[0])
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(partial(press, running, "/stream/x", 8.0, **PROMPT))
+                    nursery.start_soon(partial(send_requests, running, "/stream/x", 8.0, **PROMPT))
                     await trio.sleep(2.0)
-                    await running.cut_off(first)
+                    await running.partition(first)
                     await trio.sleep(3.0)
                     await running.connect(first)
 
--- a/tests/platform/test_restarted_servers.py
+++ b/tests/platform/test_restarted_servers.py
@@ -11,7 +11,7 @@
 from tests.platform.test_streams import PROMPT, data_of, event
 
 # Well below the timeout for an unresponsive server, and well above what the tests need.
-SOON_SECONDS = 0.7
+PROMPT_END_SECONDS = 0.7
 
 
 class TestOpenRequests:
@@ -35,7 +35,7 @@
                     await until(lambda: one.seen)
                     await trio.sleep(0.05)
                     site.announce(two, "engines", started=5)
-                    with trio.fail_after(SOON_SECONDS):
+                    with trio.fail_after(PROMPT_END_SECONDS):
                         site.announce(one, "engines", started=9)
                         await until(lambda: answers)
                 assert data_of(answers[0].body) == b"".join(event(n) for n in range(1, 5))
@@ -57,7 +57,7 @@
             ):
                 async with site.asking("/once/x") as answers:
                     await until(lambda: one.seen)
-                    with trio.fail_after(SOON_SECONDS):
+                    with trio.fail_after(PROMPT_END_SECONDS):
                         site.announce(one, "plain", started=9)
                         await until(lambda: answers)
                 assert answers[0].status == 502
