--- a/siskinspoke/gateway/daemon.py
+++ b/siskinspoke/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Compose a gateway and run it until it has drained."""
+"""Build a gateway and run it until it has drained."""
 
 import random
 import signal
@@ -28,15 +28,15 @@
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.clients import ClientServer
 from siskinspoke.gateway.context import Gateway, now_ms
-from siskinspoke.gateway.lives import hear
+from siskinspoke.gateway.lives import handle_announcement
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
 from siskinspoke.gateway.placing import offer
 from siskinspoke.gateway.pool import Pool
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.gateway.reaching import hear_lost, look_again_forever, look_forever
-from siskinspoke.gateway.reports import ask_forever, try_cut_domains_forever
-from siskinspoke.gateway.restrictions import hear_rate_limit
+from siskinspoke.gateway.reports import poll_forever, probe_unreachable_domains_forever
+from siskinspoke.gateway.restrictions import apply_peer_rate_limit
 from siskinspoke.gateway.streams import think_of_streams
 from siskinspoke.gateway.wire import Wire
 from siskinspoke.protocol.announcements import Announcement
@@ -45,38 +45,41 @@
 from siskinspoke.transport.datagrams import open_datagram_port
 from siskinspoke.transport.pages import Page, Pages, metrics_pages, serve_pages
 
-# Announcements come every 1.2 s; four of them may be lost.
-LEASES_PER_ANNOUNCEMENT = 4
-CHORES_SECONDS = 1.0
-RELOAD_SECONDS = 1.0
-# The balancer asks once a second and needs two misses; then nobody new comes.
-BALANCER_SECONDS = 3.0
-# Left of the time to stop in, for what is cut then to be sent.
-LAST_SECONDS = 0.4
-LOOK_SECONDS = 0.05
+# Announcements arrive every 1.2 s; a server's lease tolerates the loss of four.
+ANNOUNCEMENTS_PER_LEASE = 4
+MAINTENANCE_INTERVAL_SECONDS = 1.0
+RELOAD_INTERVAL_SECONDS = 1.0
+# The load balancer checks readiness once a second and removes a VM after two failed checks; after
+# this time no new clients arrive.
+BALANCER_REMOVAL_SECONDS = 3.0
+# Reserved at the end of the shutdown time, to send the responses that are cut off then.
+SHUTDOWN_RESERVE_SECONDS = 0.4
+DRAIN_POLL_SECONDS = 0.05
 
 
 class GatewayDaemon:
-    """Wire a gateway together; each part owns its sockets and state."""
+    """Connect the components of a gateway; each owns its sockets and state."""
 
     def __init__(self, read_settings: Callable[[], VmSettings], wire: Wire, log: DecisionLog):
         self._log = log
-        self._watch = SettingsWatch(read_settings, lambda seeds: self._feeds.set_seeds(seeds), log)
-        settings = self._watch.settings
+        self._settings_watch = SettingsWatch(
+            read_settings, lambda seeds: self._feeds.set_seeds(seeds), log
+        )
+        settings = self._settings_watch.settings
         counters = Counters()
         books = Books()
         domains = Domains()
         budget = CommonBudget(settings.retry_share, settings.retry_burst)
         listener = Listener(
             on_publication=self._on_publication,
-            on_news=self._on_news,
+            on_news=self._on_announcements,
             on_renewals=self._on_renewals,
-            on_remembered=self._on_remembered,
+            on_remembered=self._on_remembered_servers,
             version=lambda: self.gateway.table.version if self.gateway.table else 0,
             on_crashes=self._on_crashes,
             own_crashes=lambda: self.gateway.crashes.own_news(now_ms()),
         )
-        directory = Directory(settings.announce_every_ms * LEASES_PER_ANNOUNCEMENT)
+        directory = Directory(settings.announce_every_ms * ANNOUNCEMENTS_PER_LEASE)
         self._feeds = FeedSet(
             Me(settings.name, settings.host, settings.peer_port, settings.failure_domain),
             settings.seed_hosts,
@@ -93,7 +96,7 @@
             lambda: self._feeds.peer_changes,
             log,
         )
-        questions = Questions(
+        queries = Queries(
             settings.host,
             settings.peer_port,
             lambda question: offer(self.gateway, question),
@@ -116,7 +119,7 @@
             looks=Looks(),
             connects=ConnectTimer(),
             cells=cells,
-            questions=questions,
+            questions=queries,
             permits=Permits(
                 EntryPeer(settings.host, settings.peer_port, settings.failure_domain),
                 lambda: self._feeds.peers,
@@ -133,16 +136,16 @@
                 budget,
                 domains,
                 cells,
-                questions,
+                queries,
                 counters,
                 self._feeds.heard_peer,
                 lambda server: hear_lost(self.gateway, server),
                 self._on_crashes,
                 self._feeds.hear_control,
                 lambda work: think_of_streams(self.gateway, work),
-                lambda news: hear_rate_limit(self.gateway, news),
+                lambda news: apply_peer_rate_limit(self.gateway, news),
             ),
-            crashes=CrashWatch(self._tell_crashes, counters, log),
+            crashes=CrashWatch(self._send_crashes, counters, log),
             counters=counters,
             latencies=Latencies(),
             log=log,
@@ -150,36 +153,36 @@
         )
 
     def _has_quorum(self) -> bool:
-        """Tell whether this VM hears most control VMs, or most entry VMs of its cell."""
+        """Return whether this VM hears a majority of the control VMs or of its cell's entry VMs."""
         feeds, cells = self._feeds, self.gateway.cells
         if 2 * feeds.connected > len(feeds.controls):
             return True
-        vms = 1 + len(cells.addresses(cells.mine))
-        return 2 * (1 + self.gateway.peers.heard(now_ms())) > vms
+        vms = 1 + len(cells.addresses(cells.own_cell))
+        return 2 * (1 + self.gateway.peers.count_heard(now_ms())) > vms
 
     def _on_publication(self, version: int, document: dict) -> None:
-        """Put a newer configuration in force; the version never goes back.
+        """Apply a newer configuration; the version never decreases.
 
-        A control VM that lags, or is cut off, offers older ones; they would undo a change.
+        A control VM that lags or is partitioned offers older versions, which would undo a change.
         """
         gateway = self.gateway
         if gateway.table is not None and version <= gateway.table.version:
             return
-        read = gateway.wire.table_from(document)
-        if read.is_error():
+        decoded = gateway.wire.table_from(document)
+        if decoded.is_error():
             gateway.counters.count("configuration.refused")
-            self._log.note("configuration.refused", version=version, reason=read.error.message)
+            self._log.note("configuration.refused", version=version, reason=decoded.error.message)
             return
-        gateway.table = read.ok
+        gateway.table = decoded.ok
         gateway.configured.set()
-        self._log.note("configuration.in_force", version=version, routes=len(read.ok.routes))
+        self._log.note("configuration.in_force", version=version, routes=len(decoded.ok.routes))
 
-    def _on_news(self, announcements: list[Announcement]) -> None:
+    def _on_announcements(self, announcements: list[Announcement]) -> None:
         for announcement in announcements:
-            heard = hear(self.gateway, announcement)
-            if heard in (Heard.JOINED, Heard.LEFT):
+            change = handle_announcement(self.gateway, announcement)
+            if change in (Heard.JOINED, Heard.LEFT):
                 self._log.note(
-                    f"server.{heard.value}",
+                    f"server.{change.value}",
                     server=announcement.server,
                     service=announcement.service,
                     address=f"{announcement.host}:{announcement.port}",
@@ -187,35 +190,35 @@
                     seq=announcement.seq,
                 )
 
-    def _on_remembered(self, announcements: list[Announcement]) -> None:
+    def _on_remembered_servers(self, announcements: list[Announcement]) -> None:
         now = now_ms()
         new = [item for item in announcements if self.gateway.directory.remember(item, now)]
         self._log.note("servers.remembered", told=len(announcements), new=len(new))
 
-    def _on_crashes(self, news: CrashNews) -> None:
-        self.gateway.crashes.hear(news, now_ms())
+    def _on_crashes(self, crashes: CrashNews) -> None:
+        self.gateway.crashes.hear(crashes, now_ms())
 
-    def _tell_crashes(self, news: CrashNews) -> None:
-        """Tell the VMs of this cell at once, and all others by way of the control VMs."""
-        self.gateway.peers.crashes(news)
-        self._feeds.tell_crashes(news)
+    def _send_crashes(self, crashes: CrashNews) -> None:
+        """Send crash updates to this cell's VMs directly, and to all others via control VMs."""
+        self.gateway.peers.send_crashes(crashes)
+        self._feeds.tell_crashes(crashes)
 
-    def _on_renewals(self, items: list[tuple[str, int, int]]) -> None:
+    def _on_renewals(self, renewals: list[tuple[str, int, int]]) -> None:
         now = now_ms()
-        for server, incarnation, seq in items:
+        for server, incarnation, seq in renewals:
             self.gateway.directory.renew(server, incarnation, seq, now)
 
     @property
     def _ready(self) -> bool:
-        """Tell whether new clients may come: this VM can serve, and is not about to stop."""
+        """Return whether new clients may connect: this VM is configured and not draining."""
         return self.gateway.table is not None and not self.gateway.draining
 
-    def _ready_pages(self) -> Pages:
+    def _readiness_pages(self) -> Pages:
         return {"/readyz": lambda: Page(200 if self._ready else 503)}
 
     async def run(self, metrics_port: int) -> None:
-        """Serve until SIGTERM, then let open requests end."""
-        gateway, settings = self.gateway, self._watch.settings
+        """Serve until SIGTERM or SIGINT, then let open requests finish."""
+        gateway, settings = self.gateway, self._settings_watch.settings
         gateway.started_at = trio.current_time()
         async with AsyncExitStack() as stack:
             stack.callback(gateway.pool.close)
@@ -227,9 +230,9 @@
             for task, *args in (
                 (gateway.peers.run, port),
                 (self._feeds.run,),
-                (self._chores_forever,),
-                (ask_forever, gateway, lambda: self._feeds.connected > 0),
-                (try_cut_domains_forever, gateway),
+                (self._maintain_forever,),
+                (poll_forever, gateway, lambda: self._feeds.connected > 0),
+                (probe_unreachable_domains_forever, gateway),
                 (look_forever, gateway),
                 (look_again_forever, gateway),
                 (self._reload_forever,),
@@ -238,7 +241,7 @@
             public = settings.public
             await nursery.start(ClientServer(gateway).serve, public.host, public.port)
             ready = settings.ready
-            await nursery.start(serve_pages, self._ready_pages(), ready.host, ready.port)
+            await nursery.start(serve_pages, self._readiness_pages(), ready.host, ready.port)
             if metrics_port:
                 pages = metrics_pages(gateway.counters, gateway.latencies)
                 await nursery.start(serve_pages, pages, settings.host, metrics_port)
@@ -250,27 +253,27 @@
             nursery.cancel_scope.cancel()
 
     async def _drain(self) -> None:
-        """Refuse to be ready, serve what still comes, and end once nothing is open."""
+        """Report not ready, serve requests that still arrive, and return once none are open."""
         gateway = self.gateway
         gateway.draining_since = now_ms()
         self._log.note("drain", open=gateway.open_requests)
         began = trio.current_time()
-        limit = self._watch.settings.shutdown_seconds - LAST_SECONDS
+        limit = self._settings_watch.settings.shutdown_seconds - SHUTDOWN_RESERVE_SECONDS
         with trio.move_on_after(limit):
-            await trio.sleep(BALANCER_SECONDS)
+            await trio.sleep(BALANCER_REMOVAL_SECONDS)
             gateway.stop_waiting()
             while gateway.open_requests:
-                await trio.sleep(LOOK_SECONDS)
-        took = trio.current_time() - began
-        self._log.note("stop", open=gateway.open_requests, took=round(took * 1000))
+                await trio.sleep(DRAIN_POLL_SECONDS)
+        elapsed = trio.current_time() - began
+        self._log.note("stop", open=gateway.open_requests, took=round(elapsed * 1000))
 
-    async def _chores_forever(self) -> None:
-        """Forget what is past, and share the common budget among the VMs that are known."""
+    async def _maintain_forever(self) -> None:
+        """Expire old state, and divide the common retry budget among the known VMs."""
         gateway = self.gateway
         while True:
-            await trio.sleep(CHORES_SECONDS)
+            await trio.sleep(MAINTENANCE_INTERVAL_SECONDS)
             now = now_ms()
-            gateway.budget.set_vms(1 + len(self._feeds.peers), 1 + gateway.peers.heard(now))
+            gateway.budget.set_vms(1 + len(self._feeds.peers), 1 + gateway.peers.count_heard(now))
             gateway.directory.forget(now)
             self._feeds.forget_peers()
             names = [item.announcement.server for item in gateway.directory.all_known()]
@@ -279,7 +282,7 @@
             gateway.rate_limits.forget(names)
             gateway.permits.tick(names)
             gateway.back_offs.forget(names, now)
-            gateway.peers.forget_silent(now)
+            gateway.peers.expire_peers(now)
             gateway.crashes.forget(now)
             gateway.pool.prune(now)
             gateway.counters.gauge("requests.open", gateway.open_requests)
@@ -289,9 +292,9 @@
             gateway.counters.gauge("log.dropped", self._log.dropped)
 
     async def _reload_forever(self) -> None:
-        """Read the settings again, on SIGHUP and now and then: they also change silently."""
+        """Reload the settings on SIGHUP and periodically, as they may change without a signal."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
-                with trio.move_on_after(RELOAD_SECONDS):
+                with trio.move_on_after(RELOAD_INTERVAL_SECONDS):
                     await signals.__anext__()
-                self._watch.look()
+                self._settings_watch.look()
--- a/siskinspoke/gateway/lives.py
+++ b/siskinspoke/gateway/lives.py
@@ -1,8 +1,8 @@
-"""What a backend server's new start under its old name means to this VM.
+"""Handling of announcements, including those of backend servers that restarted under their name.
 
-The new process holds and knows nothing of before.  Requests that are open at the former one
-will not be answered, its failures and its pace say nothing of the new one, and what the books
-hold there is gone.
+The new process has none of the state of the old one. Requests still open at the old process will
+not be answered, its recorded failures and pace do not apply to the new process, and the work
+recorded for it is gone.
 """
 
 from siskinspoke.coordination.directory import Heard, start_of
@@ -10,12 +10,12 @@
 from siskinspoke.protocol.announcements import Announcement
 
 
-def hear(gateway: Gateway, announcement: Announcement) -> Heard:
-    """Take in an announcement, and what it means if the server has started anew."""
+def handle_announcement(gateway: Gateway, announcement: Announcement) -> Heard:
+    """Process an announcement, and reset the server's state here if it has restarted."""
     known = gateway.directory.latest(announcement.server)
-    heard = gateway.directory.hear(announcement, now_ms())
+    change = gateway.directory.hear(announcement, now_ms())
     if known is None or known.announcement.incarnation >= announcement.incarnation:
-        return heard
+        return change
     server = announcement.server
     if not known.announcement.leaving and not gateway.crashes.has_crashed(known.start):
         now, service = now_ms(), announcement.service
@@ -23,8 +23,8 @@
         gateway.crashes.started_anew(known.start, service, servers, now)
     gateway.standing.started(server)
     gateway.books.started(server)
-    for words in (gateway.back_offs, gateway.rate_limits):
-        words.started(known.start, start_of(announcement), now_ms())
+    for restrictions in (gateway.back_offs, gateway.rate_limits):
+        restrictions.started(known.start, start_of(announcement), now_ms())
     ended = gateway.attempts.started(server, announcement.incarnation)
     gateway.counters.count("server.started_again")
     gateway.log.note(
@@ -34,4 +34,4 @@
         former=known.announcement.incarnation,
         attempts_ended=ended,
     )
-    return heard
+    return change
--- a/siskinspoke/gateway/permits.py
+++ b/siskinspoke/gateway/permits.py
@@ -1,4 +1,4 @@
-"""Obtain leave to send requests to backend servers that have named a rate limit."""
+"""Obtain permits for requests to backend servers that have announced a rate limit."""
 
 import math
 from collections.abc import Callable
@@ -18,20 +18,20 @@
 )
 from siskinspoke.coordination.rate_limits import RateLimit, RateLimits
 from siskinspoke.core.counters import Counters
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.questions import Queries
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PermitReply, PermitRequest
 
-# A limiter that did not answer is passed over for this long.
-SILENT_MS = 1_000.0
-# Two answers that did not come are one silence if no more than this lies between them.
-ONE_SILENCE_MS = 5_000.0
-# When to ask again where no limiter has answered.
-NOBODY_MS = 500.0
+# A limiter that did not answer is skipped for this long.
+SKIP_MS = 1_000.0
+# Two missing answers count as one outage of the limiter if they are no further apart than this.
+OUTAGE_GAP_MS = 5_000.0
+# Delay before asking again when no limiter has answered.
+NO_LIMITER_RETRY_MS = 500.0
 
 
 class Permit(NamedTuple):
-    """Leave to send one request to one start of a server, until a time in milliseconds."""
+    """Permission to send one request to a server process, until a time in milliseconds."""
 
     start: tuple[str, int]
     until: float
@@ -44,42 +44,42 @@
 
 
 class Found(NamedTuple):
-    """What a limiter decided, and which one; no host where none has answered."""
+    """The verdict of a limiter and its host; the host is empty if no limiter has decided."""
 
     verdict: Verdict
     host: str = ""
 
 
 class Permits:
-    """Ask limiters for permits, and be the limiter of some servers.
+    """Request permits from limiters, and act as the limiter of some servers.
 
-    ``peers`` returns the other entry VMs that are known and ``changes`` how often they have
-    changed; ``has_quorum`` tells whether this VM reaches most of the fleet, ``heard_within``
-    whether another VM has spoken within some milliseconds.
+    ``peers`` returns the other known entry VMs and ``change_count`` how many times they have
+    changed. ``has_quorum`` returns whether this VM reaches a majority of the fleet, and
+    ``heard_within`` whether another VM was heard from within a number of milliseconds.
     """
 
     def __init__(
         self,
-        me: EntryPeer,
+        own_vm: EntryPeer,
         peers: Callable[[], list[EntryPeer]],
-        changes: Callable[[], int],
+        change_count: Callable[[], int],
         has_quorum: Callable[[], bool],
         heard_within: Callable[[str, float], bool],
         limits: RateLimits,
         counters: Counters,
     ):
-        self._me = me
+        self._own_vm = own_vm
         self._peers = peers
-        self._changes = changes
+        self._change_count = change_count
         self._has_quorum = has_quorum
         self._heard_within = heard_within
         self._limits = limits
         self._counters = counters
         self._limiter: Limiter | None = None
-        self._drawn: dict[str, tuple[str, ...]] = {}
-        self._drawn_at = -1
+        self._limiters_by_server: dict[str, tuple[str, ...]] = {}
+        self._limiters_version = -1
         self._silent_since: dict[str, float] = {}
-        self._passed_over: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     def _my_limiter(self) -> Limiter:
         if self._limiter is None:
@@ -87,80 +87,82 @@
         return self._limiter
 
     def tick(self, servers: list[str]) -> None:
-        """Note that the process runs, and forget the servers that are not among these."""
+        """Record that this process is running, and discard the state of servers not listed."""
         limiter = self._my_limiter()
         limiter.tick(_now_ms())
         limiter.forget(servers)
-        for server in self._drawn.keys() - set(servers):
-            del self._drawn[server]
+        for server in self._limiters_by_server.keys() - set(servers):
+            del self._limiters_by_server[server]
 
     def _limiters(self, server: str, domain: str) -> tuple[str, ...]:
-        changes = self._changes()
-        if changes != self._drawn_at:
-            self._drawn_at = changes
-            self._drawn.clear()
-        found = self._drawn.get(server)
-        if found is None:
+        changes = self._change_count()
+        if changes != self._limiters_version:
+            self._limiters_version = changes
+            self._limiters_by_server.clear()
+        limiters = self._limiters_by_server.get(server)
+        if limiters is None:
             vms = {peer.host: peer.failure_domain for peer in self._peers()}
-            vms[self._me.host] = self._me.failure_domain
-            found = self._drawn[server] = limiters_of(server, domain, vms)
-        return found
+            vms[self._own_vm.host] = self._own_vm.failure_domain
+            limiters = self._limiters_by_server[server] = limiters_of(server, domain, vms)
+        return limiters
 
-    def answer(self, question: PermitRequest) -> PermitReply:
+    def answer(self, request: PermitRequest) -> PermitReply:
         """Answer another VM as the limiter of a server."""
-        start = question.server, question.incarnation
-        self._limits.name(start, question.rate, _now_ms() - question.age_ms)
-        ask = Ask(question.host, start, question.rate, question.patience_ms, question.silent_ms)
-        verdict = self._decide(ask, question.domain)
+        start = request.server, request.incarnation
+        self._limits.name(start, request.rate, _now_ms() - request.age_ms)
+        ask = Ask(request.host, start, request.rate, request.patience_ms, request.silent_ms)
+        verdict = self._decide(ask, request.domain)
         self._counters.count(f"permit.{verdict.outcome.name.lower()}")
-        return PermitReply(question.number, *verdict)
+        return PermitReply(request.number, *verdict)
 
     def _decide(self, ask: Ask, domain: str) -> Verdict:
         limiters = self._limiters(ask.start[0], domain)
-        place = limiters.index(self._me.host) if self._me.host in limiters else None
-        before = limiters[:place] if place else ()
-        if any(self._heard_within(host, TAKE_OVER_MS) for host in before):
+        rank = limiters.index(self._own_vm.host) if self._own_vm.host in limiters else None
+        preferred = limiters[:rank] if rank else ()
+        if any(self._heard_within(host, TAKE_OVER_MS) for host in preferred):
             ask = ask._replace(silent_ms=0.0)
         if (known := self._limits.find(ask.start)) is not None:
-            # It may have heard later of the limit than the VM that asks.
+            # This VM may know a more recent limit than the one that asks.
             ask = ask._replace(rate=known.rate)
-        return self._my_limiter().decide(ask, place, self._has_quorum(), _now_ms())
+        return self._my_limiter().decide(ask, rank, self._has_quorum(), _now_ms())
 
     async def obtain(
-        self, questions: Questions, server: ServerRecord, limit: RateLimit, patience_ms: float
+        self, queries: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> tuple[Permit | Denied, Found]:
-        """Return a permit once it may be used, or until when there is none."""
+        """Return a permit as soon as it is valid, or the time until which there is none."""
         asked_at = _now_ms()
-        found = await self._ask(questions, server, limit, patience_ms)
-        match found.verdict:
+        decision = await self._ask_limiters(queries, server, limit, patience_ms)
+        match decision.verdict:
             case Verdict(Outcome.GRANTED, wait_ms):
                 await trio.sleep(wait_ms / 1000)
                 until = asked_at + wait_ms + PERMIT_MS
                 if _now_ms() < until:
-                    return Permit(server.start, until), found
-                # It came too late, as where this process stood still.
+                    return Permit(server.start, until), decision
+                # The permit has expired already, for example because this process was paused.
                 denied = Denied(_now_ms())
             case Verdict(Outcome.LATER, wait_ms):
                 denied = Denied(_now_ms() + wait_ms)
             case _:
-                denied = Denied(_now_ms() + NOBODY_MS)
+                denied = Denied(_now_ms() + NO_LIMITER_RETRY_MS)
         self._limits.close(server.start, denied.until)
-        return denied, found
+        return denied, decision
 
-    async def _ask(
-        self, questions: Questions, server: ServerRecord, limit: RateLimit, patience_ms: float
+    async def _ask_limiters(
+        self, queries: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
     ) -> Found:
-        """Return what the first limiter says that answers and can tell."""
-        said = server.announcement
+        """Return the verdict of the first limiter that answers and is able to decide."""
+        announcement = server.announcement
         silent_ms = math.inf
-        for host in self._limiters(said.server, said.failure_domain):
+        for host in self._limiters(announcement.server, announcement.failure_domain):
             silent = 0.0 if silent_ms == math.inf else silent_ms
-            ask = Ask(self._me.host, server.start, limit.rate, patience_ms, silent)
-            if host == self._me.host:
-                verdict = self._decide(ask, said.failure_domain)
+            ask = Ask(self._own_vm.host, server.start, limit.rate, patience_ms, silent)
+            if host == self._own_vm.host:
+                verdict = self._decide(ask, announcement.failure_domain)
             else:
                 age_ms = _now_ms() - limit.heard_at
-                verdict = await self._ask_other(questions, host, ask, said.failure_domain, age_ms)
+                verdict = await self._ask_vm(
+                    queries, host, ask, announcement.failure_domain, age_ms
+                )
             if verdict is None:
                 silent_ms = min(silent_ms, _now_ms() - self._silent_since[host])
             elif verdict.outcome is not Outcome.ELSEWHERE:
@@ -169,25 +171,25 @@
                 silent_ms = 0.0
         return Found(Verdict(Outcome.ELSEWHERE))
 
-    async def _ask_other(
-        self, questions: Questions, host: str, ask: Ask, domain: str, age_ms: float
+    async def _ask_vm(
+        self, queries: Queries, host: str, ask: Ask, domain: str, age_ms: float
     ) -> Verdict | None:
-        """Return the verdict of another VM, None where it is silent."""
+        """Return the verdict of another VM, or None if it does not answer."""
         now = _now_ms()
-        if self._passed_over.get(host, now) > now:
+        if self._skipped_until.get(host, now) > now:
             return None
-        question = PermitRequest(
+        request = PermitRequest(
             "", 0, *ask.start, domain, ask.rate, age_ms, ask.patience_ms, ask.silent_ms
         )
-        reply = await questions.ask_permit(question, host)
+        reply = await queries.request_permit(request, host)
         if reply is None:
-            if now - self._passed_over.get(host, -math.inf) > ONE_SILENCE_MS:
+            if now - self._skipped_until.get(host, -math.inf) > OUTAGE_GAP_MS:
                 self._silent_since[host] = now
-            self._passed_over[host] = _now_ms() + SILENT_MS
+            self._skipped_until[host] = _now_ms() + SKIP_MS
             self._counters.count("permit.unanswered")
             return None
         self._silent_since.pop(host, None)
-        self._passed_over.pop(host, None)
+        self._skipped_until.pop(host, None)
         return Verdict(reply.outcome, reply.wait_ms)
 
 
--- a/siskinspoke/gateway/widening.py
+++ b/siskinspoke/gateway/widening.py
@@ -1,9 +1,9 @@
-"""Ask other cells for room where this VM's own cell is short of it.
+"""Place prompts in other cells when this VM's own cell is short of capacity.
 
-A cell holds a part of its failure domain's engines.  A burst, a clump of long prompts or a loss
-of engines may fill one cell while others have room.  Some others are asked for each prompt that
-would wait too long, one of this failure domain among them; the best offer is taken.  Their VMs keep
-the books of their engines, so an offer is as good as a choice of their own.
+A cell holds a part of its failure domain's engines. A burst, a cluster of long prompts or a loss
+of engines may fill one cell while others have capacity. For each prompt that would wait too long, a
+few other cells are queried, one of them in this failure domain, and the best offer is taken. The
+VMs of those cells track the load of their engines, so an offer is as accurate as their own choice.
 """
 
 from collections.abc import Iterable
@@ -22,11 +22,11 @@
 async def ask_others(
     gateway: Gateway, request: Request, job: Job, excluded: Iterable[str], found: Place | None
 ) -> Place | None:
-    """Return the best place in some other cells if it is better than what was found, or None."""
-    asked = _to_ask(gateway)
-    # ``Questions`` puts in who asks, and the number by which it knows the offers.
-    question = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
-    offers = await gateway.questions.ask(question, asked)
+    """Return the best place offered by other cells if it is better than ``found``, else None."""
+    addresses = _choose_vms(gateway)
+    # ``Queries`` fills in the asking host and the number that matches offers to the query.
+    query = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
+    offers = await gateway.questions.request_offers(query, addresses)
     request.offers = len(offers)
     places = [place for offer in offers if (place := _place_of(gateway, offer)) is not None]
     best = best_offer(found, places)
@@ -36,20 +36,20 @@
     return best
 
 
-def _to_ask(gateway: Gateway) -> list[tuple[str, int]]:
-    """Return one VM of each cell to ask, drawn by lot."""
-    now, here = now_ms(), gateway.settings.failure_domain
+def _choose_vms(gateway: Gateway) -> list[tuple[str, int]]:
+    """Return the VMs to query: one random VM of each of a few random cells."""
+    now, own_domain = now_ms(), gateway.settings.failure_domain
     cells = [cell for cell in gateway.cells.others if not gateway.domains.is_cut(cell.domain, now)]
-    near = [cell for cell in cells if cell.domain == here]
-    far = [cell for cell in cells if cell.domain != here]
+    near = [cell for cell in cells if cell.domain == own_domain]
+    far = [cell for cell in cells if cell.domain != own_domain]
     chosen: list[Cell] = gateway.rng.sample(near, min(1, len(near)))
     chosen += gateway.rng.sample(far, min(ASKED_CELLS - len(chosen), len(far)))
-    known = [gateway.cells.addresses(cell) for cell in chosen]
-    return [gateway.rng.choice(addresses) for addresses in known if addresses]
+    addresses_by_cell = [gateway.cells.addresses(cell) for cell in chosen]
+    return [gateway.rng.choice(addresses) for addresses in addresses_by_cell if addresses]
 
 
 def _place_of(gateway: Gateway, offer: PlaceOffer) -> Place | None:
-    """Return an offered place, or None where this VM knows a reason against it."""
+    """Return an offered place, or None if this VM knows that one of its servers is unusable."""
     records = [gateway.directory.latest(name) for name in offer.servers]
     if any(record is None or not _is_usable(gateway, record) for record in records):
         return None
@@ -60,7 +60,12 @@
 
 
 def _is_usable(gateway: Gateway, record: ServerRecord) -> bool:
-    said, now = record.announcement, now_ms()
-    cut = gateway.domains.is_cut(said.failure_domain, now)
+    announcement, now = record.announcement, now_ms()
+    cut = gateway.domains.is_cut(announcement.failure_domain, now)
     is_held = held(gateway, record, now) is not None
-    return not (said.leaving or cut or is_held or gateway.standing.is_aside(said.server, now))
+    return not (
+        announcement.leaving
+        or cut
+        or is_held
+        or gateway.standing.is_aside(announcement.server, now)
+    )
--- a/tests/platform/test_back_off.py
+++ b/tests/platform/test_back_off.py
@@ -1,4 +1,4 @@
-"""Backend servers that turn a request away and say for how long they want no other."""
+"""Tests for backend servers that refuse a request and ask for a back-off time."""
 
 import pytest
 import trio
@@ -11,12 +11,12 @@
 from tests.platform.test_rate_limits import retry_after
 from tests.platform.test_streams import PROMPT
 
-SECONDS = 2.0
-RESTS = Refuse(back_off=SECONDS)
+BACK_OFF_SECONDS = 2.0
+BACK_OFF_REFUSAL = Refuse(back_off=BACK_OFF_SECONDS)
 
 
-async def press(site: Site, path: str, seconds: float = SECONDS + 0.5, **headers) -> list:
-    """Ask twenty times a second; return the answers."""
+async def press(site: Site, path: str, seconds: float = BACK_OFF_SECONDS + 0.5, **headers) -> list:
+    """Send twenty requests a second; return the responses."""
     answers = []
 
     async def ask(request_id: str) -> None:
@@ -30,66 +30,66 @@
 
 
 def arrivals(server: StandinServer) -> int:
-    """Return how many requests of clients a server got."""
+    """Return how many client requests a server received."""
     return sum("Request-Id" in seen.headers for seen in server.seen)
 
 
 class TestBackOff:
-    """A server gets nothing from a VM for the time for which it has asked."""
+    """A server gets no requests from a VM for the time that it asked for."""
 
     @pytest.mark.parametrize(
-        ("service", "path", "more", "sound"),
+        ("service", "path", "more", "healthy"),
         [
             ("plain", "/again/x", {}, Whole(begin_after=0.15)),
             ("engines", "/stream/x", PROMPT, Events()),
         ],
     )
-    def test_one_server_rests(self, service, path, more, sound, tmp_path):
-        """A server asked for 3 s of rest and got requests every 0.2 s."""
+    def test_one_server_backs_off(self, service, path, more, healthy, tmp_path):
+        """A server asked for a back-off of 3 s and still got requests every 0.2 s."""
 
         async def run():
-            async with gateway_site(tmp_path) as site, servers(site, service, [RESTS]):
+            async with gateway_site(tmp_path) as site, servers(site, service, [BACK_OFF_REFUSAL]):
                 assert (await site.ask(path, **more)).status == 503
-                async with servers(site, service, [sound], [sound], first=1):
+                async with servers(site, service, [healthy], [healthy], first=1):
                     answers = await press(site, path, **more)
                 assert all(answer.status == 200 for answer in answers)
 
         trio.run(run)
 
     @pytest.mark.parametrize(
-        ("service", "path", "more", "sound"),
+        ("service", "path", "more", "healthy"),
         [("plain", "/once/x", {}, Whole()), ("engines", "/stream/x", PROMPT, Events())],
     )
-    def test_all_servers_rest(self, service, path, more, sound, tmp_path):
-        """With all servers at rest half of them were handed back to serve anyway."""
+    def test_all_servers_back_off(self, service, path, more, healthy, tmp_path):
+        """With all servers in back-off, half of them were used anyway."""
 
         async def run():
-            script = [RESTS, sound]
+            script = [BACK_OFF_REFUSAL, healthy]
             async with (
                 gateway_site(tmp_path) as site,
-                servers(site, service, script, script, script) as rested,
+                servers(site, service, script, script, script) as backed_off,
             ):
                 for number in range(3):
                     assert (await site.ask(path, f"first-{number}", **more)).status in (200, 503)
                 answer = await site.ask(path, **more)
                 assert answer.status == 503
-                assert 0.5 * SECONDS <= retry_after(answer) <= SECONDS + 1
-                assert sum(arrivals(server) for server in rested) == 3
+                assert 0.5 * BACK_OFF_SECONDS <= retry_after(answer) <= BACK_OFF_SECONDS + 1
+                assert sum(arrivals(server) for server in backed_off) == 3
                 await trio.sleep(retry_after(answer))
                 assert (await site.ask(path, **more)).status == 200
 
         trio.run(run)
 
-    def test_answer_to_a_question_of_ours(self, tmp_path):
-        """An engine answered a question of the VM's own with a back-off, which nobody read."""
+    def test_back_off_in_response_to_status_poll(self, tmp_path):
+        """A back-off in an engine's response to the VM's own status poll was ignored."""
 
         async def run():
             async with (
                 gateway_site(tmp_path) as site,
-                servers(site, "engines", [RESTS], [Events()]) as (one, _),
+                servers(site, "engines", [BACK_OFF_REFUSAL], [Events()]) as (one, _),
             ):
                 record = site.gateway.directory.latest(one.name)
-                await reports._ask(site.gateway, record)
+                await reports._poll(site.gateway, record)
                 assert held(site.gateway, record, now_ms()).why == BACK_OFF
                 answers = await press(site, "/stream/x", 1.0, **PROMPT)
                 assert all(answer.status == 200 for answer in answers)
