--- a/siskinspoke/entry/__init__.py
+++ b/siskinspoke/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon on every entry VM: it takes callers' requests and answers for them."""
+"""The daemon of an entry VM, which accepts and serves the requests of callers."""
--- a/siskinspoke/entry/requests.py
+++ b/siskinspoke/entry/requests.py
@@ -1,4 +1,4 @@
-"""Read callers' requests; every fault becomes a numbered failure that costs no backend."""
+"""Validation of requests; invalid ones fail with a result code before reaching a backend."""
 
 import hashlib
 import re
@@ -11,9 +11,9 @@
 from siskinspoke.core.codes import Failure, ResultCode
 
 DEFAULT_MAX_TOKENS = 256
-MAX_DEPTH_HINT = "the body must be a JSON object"
+NOT_AN_OBJECT = "the body must be a JSON object"
 KEY_PATTERN = re.compile(r"(\d{13})-([A-Za-z0-9_.-]{1,64})")
-SHOWN = 60
+MAX_SHOWN_CHARACTERS = 60
 
 COMPLETION_FIELDS = frozenset(
     {"model", "prompt", "max_tokens", "stream", "timeout_ms", "idempotent"}
@@ -22,14 +22,14 @@
 
 
 class IdempotencyKey(NamedTuple):
-    """A caller's key; its expiry is part of it, in wall-clock milliseconds."""
+    """An idempotency key, which contains its expiry in Unix milliseconds."""
 
     text: str
     expires_ms: int
 
 
 class Caller(NamedTuple):
-    """Who calls, as its key says."""
+    """The caller that an API key identifies."""
 
     customer: str
     weight: float
@@ -37,7 +37,7 @@
 
 
 class Completion(NamedTuple):
-    """A checked request to a model."""
+    """A validated request to a model."""
 
     service: str
     prompt: str
@@ -49,7 +49,7 @@
 
 
 class Call(NamedTuple):
-    """A checked request to a plain service."""
+    """A validated request to a plain service."""
 
     service: str
     input: str
@@ -59,29 +59,33 @@
 
 
 def authenticate(header: str | None, configuration: Configuration) -> Result[Caller, Failure]:
-    """Return the customer whose key the Authorization header carries."""
+    """Return the caller whose API key the Authorization header carries."""
     if not header or not header.startswith("Bearer "):
         return Error(Failure(ResultCode.UNAUTHENTICATED, "send 'Authorization: Bearer KEY'"))
     digest = hashlib.sha256(header[7:].strip().encode()).hexdigest()
     name = configuration.customers_by_key.get(digest)
     if name is None:
-        return Error(Failure(ResultCode.UNAUTHENTICATED, "the key is not a customer's"))
+        return Error(Failure(ResultCode.UNAUTHENTICATED, "the key belongs to no customer"))
     return Ok(Caller(name, configuration.customers[name].weight, configuration.priority_rank(name)))
 
 
 def read_object(data: bytes) -> Result[dict, Failure]:
-    """Decode a body that must be a JSON object."""
+    """Decode a request body that must be a JSON object."""
     try:
         document = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return Error(Failure(ResultCode.NOT_JSON, f"the body is not JSON: {str(error)[:SHOWN]}"))
+        return Error(
+            Failure(
+                ResultCode.NOT_JSON, f"the body is not JSON: {str(error)[:MAX_SHOWN_CHARACTERS]}"
+            )
+        )
     if not isinstance(document, dict):
-        return Error(Failure(ResultCode.NOT_JSON, MAX_DEPTH_HINT))
+        return Error(Failure(ResultCode.NOT_JSON, NOT_AN_OBJECT))
     return Ok(document)
 
 
 def read_key(header: str | None) -> Result[IdempotencyKey | None, Failure]:
-    """Read an Idempotency-Key: its expiry in Unix milliseconds, '-', and a unique name."""
+    """Parse an Idempotency-Key: expiry in Unix milliseconds, '-' and a unique name."""
     if header is None:
         return Ok(None)
     found = KEY_PATTERN.fullmatch(header.strip())
@@ -91,22 +95,22 @@
     return Ok(IdempotencyKey(found.group(0), int(found.group(1))))
 
 
-def _invalid(name: str, need: str) -> Error:
-    return Error(Failure(ResultCode.INVALID_FIELD, f"{name}: {need}"))
+def _invalid(name: str, requirement: str) -> Error:
+    return Error(Failure(ResultCode.INVALID_FIELD, f"{name}: {requirement}"))
 
 
 def _unknown_fields(document: dict, known: frozenset[str]) -> list[str]:
-    return sorted(name[:SHOWN] for name in document if name not in known)
+    return sorted(name[:MAX_SHOWN_CHARACTERS] for name in document if name not in known)
 
 
-def _is_whole(value) -> bool:
+def _is_integer(value) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _read_timeout(document: dict, default: int, highest: int) -> Result[int, Failure]:
+def _read_timeout(document: dict, default: int, maximum: int) -> Result[int, Failure]:
     timeout = document.get("timeout_ms", default)
-    if not _is_whole(timeout) or not 1 <= timeout <= highest:
-        message = f"timeout_ms: use a whole number from 1 to {highest}"
+    if not _is_integer(timeout) or not 1 <= timeout <= maximum:
+        message = f"timeout_ms: use an integer from 1 to {maximum}"
         return Error(Failure(ResultCode.INVALID_DEADLINE, message))
     return Ok(timeout)
 
@@ -114,10 +118,10 @@
 def _read_common(
     document: dict, service: str, kind: str, configuration: Configuration, key_header: str | None
 ) -> Result[tuple[int, bool, IdempotencyKey | None], Failure]:
-    """Return deadline, idempotence and key of a request of either kind."""
+    """Return timeout, idempotence and key of a request of either kind."""
     settings = configuration.services.get(service)
     if settings is None or settings.kind != kind:
-        message = f"no {kind} service {service[:SHOWN]!r}"
+        message = f"no {kind} service {service[:MAX_SHOWN_CHARACTERS]!r}"
         return Error(Failure(ResultCode.UNKNOWN_MODEL, message))
     timeout = _read_timeout(document, settings.timeout_ms, configuration.limits.max_timeout_ms)
     if timeout.is_error():
@@ -137,7 +141,7 @@
 def read_completion(
     data: bytes, key_header: str | None, configuration: Configuration
 ) -> Result[Completion, Failure]:
-    """Check the body of POST /v1/completions."""
+    """Validate the body of POST /v1/completions."""
     read = read_object(data)
     if read.is_error():
         return read
@@ -149,11 +153,11 @@
     if not isinstance(model, str):
         return _invalid("model", "name a model")
     if not isinstance(prompt, str) or not prompt:
-        return _invalid("prompt", "use a string that is not empty")
+        return _invalid("prompt", "use a non-empty string")
     max_tokens = document.get("max_tokens", DEFAULT_MAX_TOKENS)
-    highest = configuration.limits.max_output_tokens
-    if not _is_whole(max_tokens) or not 1 <= max_tokens <= highest:
-        return _invalid("max_tokens", f"use a whole number from 1 to {highest}")
+    maximum = configuration.limits.max_output_tokens
+    if not _is_integer(max_tokens) or not 1 <= max_tokens <= maximum:
+        return _invalid("max_tokens", f"use an integer from 1 to {maximum}")
     stream = document.get("stream", False)
     if not isinstance(stream, bool):
         return _invalid("stream", "use true or false")
@@ -166,7 +170,7 @@
 def read_call(
     data: bytes, service: str, key_header: str | None, configuration: Configuration
 ) -> Result[Call, Failure]:
-    """Check the body of POST /v1/services/NAME."""
+    """Validate the body of POST /v1/services/NAME."""
     read = read_object(data)
     if read.is_error():
         return read
--- a/siskinspoke/entry/stream_tokens.py
+++ b/siskinspoke/entry/stream_tokens.py
@@ -1,6 +1,6 @@
-"""Tokens by which a caller resumes its stream at any entry VM, without shared state.
+"""Tokens with which a caller resumes a stream at any entry VM, without shared state.
 
-A token names customer, request, attempt and backend server, under the seal of the shared key.
+A token contains customer, request, attempt and backend server, sealed with the shared key.
 Only the customer that it names may use it.
 """
 
@@ -17,7 +17,7 @@
 
 
 class StreamToken(NamedTuple):
-    """What names a running stream."""
+    """The identity of a running stream."""
 
     customer: str
     request: str
@@ -29,12 +29,12 @@
 
 
 def issue_token(token: StreamToken, key: bytes) -> str:
-    """Return the text of a token for its caller."""
+    """Return the sealed token as text."""
     return base64.urlsafe_b64encode(seal(key, msgspec.json.encode(token))).decode()
 
 
 def read_token(text: str, customer: str, key: bytes) -> Result[StreamToken, Failure]:
-    """Return a token of this customer; another's looks like one that does not exist."""
+    """Return a token of this customer; one of another customer counts as unknown."""
     unknown = Error(Failure(ResultCode.UNKNOWN_STREAM, "no such stream of this customer"))
     try:
         opened = open_sealed(key, base64.urlsafe_b64decode(text.encode()))
