--- a/siskinspoke/entry/janitor.py
+++ b/siskinspoke/entry/janitor.py
@@ -1,4 +1,4 @@
-"""Give back what ended requests hold at backend servers, however often a message is lost."""
+"""Reliable cleanup of what ended requests hold at backend servers."""
 
 import math
 from collections.abc import Callable
@@ -11,8 +11,8 @@
 from siskinspoke.protocol.claims import Target
 
 QUEUE_SIZE = 10_000
-FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 5.0
+MIN_RETRY_PAUSE_SECONDS = 0.2
+MAX_RETRY_PAUSE_SECONDS = 5.0
 GIVE_UP_SECONDS = 120.0
 WORKERS = 8
 
@@ -33,62 +33,64 @@
     owner: str
 
 
-Chore = CancelAttempt | ReleaseMemory
+CleanupTask = CancelAttempt | ReleaseMemory
 
 
 class Janitor:
-    """Repeat each chore until the server confirms it, is another incarnation, or is given up.
+    """Retry each task until the server confirms it, has restarted, or GIVE_UP_SECONDS pass.
 
-    A lost cancel would leave an engine computing for nobody; past GIVE_UP_SECONDS the lease
-    that every attempt and reservation carries returns the memory.
+    Without retries a lost cancellation would leave an engine computing for nobody.  After
+    GIVE_UP_SECONDS the lease of the attempt or reservation frees the memory.
     """
 
-    def __init__(self, backend: Backend, counters: Counters, is_gone: Callable[[Target], bool]):
+    def __init__(
+        self, backend: Backend, counters: Counters, is_superseded: Callable[[Target], bool]
+    ):
         self._backend = backend
         self._counters = counters
-        self._is_gone = is_gone
-        self._send, self._receive = trio.open_memory_channel[Chore](math.inf)
-        self._at_work = 0
+        self._is_superseded = is_superseded
+        self._send, self._receive = trio.open_memory_channel[CleanupTask](math.inf)
+        self._active = 0
 
     @property
     def idle(self) -> bool:
-        """Tell whether no chore waits or is under way."""
-        return not self._at_work and not self._send.statistics().current_buffer_used
+        """Return whether no task is queued or running."""
+        return not self._active and not self._send.statistics().current_buffer_used
 
-    def add(self, chore: Chore) -> None:
-        """Take on a chore; the lease covers one that finds the queue full."""
+    def add(self, task: CleanupTask) -> None:
+        """Queue a task; a task dropped by a full queue is covered by its lease."""
         if self._send.statistics().current_buffer_used >= QUEUE_SIZE:
             self._counters.count("janitor.queue_full")
             return
-        self._send.send_nowait(chore)
+        self._send.send_nowait(task)
 
     async def run(self) -> None:
-        """Work on chores forever."""
+        """Run queued tasks forever."""
         async with trio.open_nursery() as nursery:
             for _ in range(WORKERS):
-                nursery.start_soon(self._work)
+                nursery.start_soon(self._run_queued)
 
-    async def _work(self) -> None:
-        async for chore in self._receive:
-            self._at_work += 1
+    async def _run_queued(self) -> None:
+        async for task in self._receive:
+            self._active += 1
             with trio.move_on_after(GIVE_UP_SECONDS) as scope:
-                await self._repeat(chore)
-            self._at_work -= 1
+                await self._retry_until_done(task)
+            self._active -= 1
             if scope.cancelled_caught:
                 self._counters.count("janitor.gave_up")
 
-    async def _repeat(self, chore: Chore) -> None:
-        pause = FIRST_PAUSE_SECONDS
-        while not self._is_gone(chore.target):
-            if await self._try(chore):
+    async def _retry_until_done(self, task: CleanupTask) -> None:
+        pause = MIN_RETRY_PAUSE_SECONDS
+        while not self._is_superseded(task.target):
+            if await self._attempt(task):
                 self._counters.count("janitor.done")
                 return
             self._counters.count("janitor.repeated")
             await trio.sleep(pause)
-            pause = min(LONGEST_PAUSE_SECONDS, pause * 2)
+            pause = min(MAX_RETRY_PAUSE_SECONDS, pause * 2)
 
-    async def _try(self, chore: Chore) -> bool:
-        match chore:
+    async def _attempt(self, task: CleanupTask) -> bool:
+        match task:
             case CancelAttempt(target, request, attempt):
                 return await self._backend.cancel(target, request, attempt) is not None
             case ReleaseMemory(target, reservation, owner):
