--- a/siskinspoke/entry/answers.py
+++ b/siskinspoke/entry/answers.py
@@ -1,4 +1,4 @@
-"""Turn what a job puts into its outbox into an HTTP answer, whole or as server-sent events."""
+"""HTTP responses from the outbox of a job, as one document or as server-sent events."""
 
 from typing import Any
 
@@ -18,17 +18,17 @@
 
 
 async def answer_job(job: Job, stream: bool, key: bytes) -> Response:
-    """Return a whole answer, or a stream once its first piece is there.
+    """Return a complete answer, or a stream once its first piece is available.
 
-    Until then a failure still gets a status of its own.  ``key`` seals the token by which the
-    caller resumes the stream elsewhere.
+    A failure before the first piece is reported by the HTTP status.  ``key`` seals the token with
+    which the caller can resume the stream at another VM.
     """
     if not stream:
-        return await _whole_answer(job)
+        return await _complete_answer(job)
     try:
         first = await anext(aiter(job.outbox), None)
     except BaseException:
-        job.hang_up()
+        job.caller_disconnected()
         raise
     if first is None and job.failure is not None:
         return failure_response(job.failure)
@@ -37,13 +37,13 @@
     return Response(events, 200, headers, content_type=EVENT_STREAM)
 
 
-async def _whole_answer(job: Job) -> Response:
+async def _complete_answer(job: Job) -> Response:
     texts: list[str] = []
     try:
         async for pieces in job.outbox:
             texts.extend(piece.text for piece in pieces)
     except BaseException:
-        job.hang_up()
+        job.caller_disconnected()
         raise
     if job.failure is not None:
         return failure_response(job.failure)
@@ -58,7 +58,7 @@
 
 
 async def _events(job: Job, first: list[Piece] | None, token: str):
-    """Yield the events of a stream; only a whole answer ends with [DONE]."""
+    """Yield the events of a stream; only a complete answer ends with [DONE]."""
     finished = False
     try:
         yield _event({"id": job.request_id, "resume_token": token})
@@ -74,9 +74,9 @@
         yield _event(last)
         yield DONE_EVENT
     finally:
-        # A caller that hangs up closes this generator at once: here its engine is freed.
+        # The generator is closed when the caller disconnects; this frees the engine.
         if not finished:
-            job.hang_up()
+            job.caller_disconnected()
 
 
 def _event(document: Any) -> bytes:
@@ -88,7 +88,7 @@
 
 
 def _pieces_event(job: Job, pieces: list[Piece]) -> bytes:
-    """Return one event for pieces that arrived together."""
+    """Return one event for all pieces of a batch."""
     return _event(
         {
             "id": job.request_id,
--- a/siskinspoke/entry/backend.py
+++ b/siskinspoke/entry/backend.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers, with what each outcome proves about the attempt."""
+"""Requests to backend servers, and what each outcome proves about the attempt."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -18,26 +18,26 @@
 from siskinspoke.protocol.engine import AttemptRequest, CacheEvents, CancelState, Chunk
 from siskinspoke.transport.http import make_client
 
-CANCEL_SECONDS = 1.0
+EXCHANGE_TIMEOUT_SECONDS = 1.0
 SILENCE_SECONDS = 0.5
-# With these a server may say when it wants requests of this VM again.
-TURNED_AWAY_STATUSES = frozenset({429, 503})
-# Why no byte left, where a machine answers and no process listens there.
-REFUSED = httpx.ConnectError.__name__
-# No server has counted so many cache events, so a question for later ones has a short answer.
-NO_EVENTS_AFTER = 2**62
+# Statuses whose Retry-After header asks this VM to back off.
+BACK_OFF_STATUSES = frozenset({429, 503})
+# The reason of a NotBegun whose connection was refused: the machine is up, the process is not.
+CONNECTION_REFUSED = httpx.ConnectError.__name__
+# Beyond every sequence number of cache events, so the answer is short.
+AFTER_ALL_EVENTS = 2**62
 
 
 @dataclass(frozen=True)
 class Completed:
-    """The whole answer came."""
+    """The complete answer arrived."""
 
     tokens: int
 
 
 @dataclass(frozen=True)
 class NotBegun:
-    """No byte of the dispatch left, or the server said that it will not run it."""
+    """No byte of the request was sent, or the server refused to run it."""
 
     reason: str
     reached: bool
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True)
 class Unknown:
-    """The server has no such attempt to resume."""
+    """The server does not know the attempt to resume."""
 
 
 @dataclass(frozen=True)
 class Lost:
-    """The dispatch left and the answer broke off at ``offset``."""
+    """The request was sent and its answer broke off at ``offset``."""
 
     offset: int
     reason: str
@@ -64,23 +64,23 @@
 
 
 def connection_failed(error: httpx.HTTPError) -> bool:
-    """Tell whether an error proves that no byte of the request left."""
+    """Return whether an error proves that no byte of the request was sent."""
     return isinstance(error, httpx.ConnectError | httpx.ConnectTimeout | httpx.PoolTimeout)
 
 
 @dataclass(eq=False, slots=True)
-class _Reading:
-    """One attempt that waits for its server, for the watchdog."""
+class _WatchedAttempt:
+    """An attempt whose server the watchdog monitors."""
 
     target: Target
     scope: trio.CancelScope
     is_alive: IsAlive
-    heard_at: float
-    asked: bool = False
+    last_data_at: float
+    probing: bool = False
 
 
 class Backend:
-    """Own the clients that talk to backend servers."""
+    """The HTTP clients for backend servers."""
 
     def __init__(self, counters: Counters, local_host: str | None = None):
         self._counters = counters
@@ -89,41 +89,41 @@
         self._streams = make_client(local_host=local_host)
         self._single_use = make_client(keep_alive=False, local_host=local_host)
         self._control = make_client(local_host=local_host)
-        self._readings: set[_Reading] = set()
+        self._watched: set[_WatchedAttempt] = set()
 
     @property
     def back_offs(self) -> BackOffs:
-        """Return what servers have asked for."""
+        """Return the back-offs that servers have requested."""
         return self._back_offs
 
     async def watch_forever(self) -> None:
-        """Give up attempts whose server is silent and no longer announces itself.
+        """Cancel attempts whose server is silent and no longer sends announcements.
 
-        A frozen server keeps its connections open and sends nothing: only the lapse of its
-        announcement tells it from one that is busy with a long prefill.
+        A frozen server keeps its connections open and sends nothing; only its expired
+        announcement lease distinguishes it from a server that is busy with a long prefill.
         """
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(SILENCE_SECONDS)
-                for reading in self._readings:
-                    if self._is_doubtful(reading) and not reading.asked:
-                        reading.asked = True
-                        nursery.start_soon(self._give_up_unless_answered, reading)
+                for attempt in self._watched:
+                    if self._is_suspect(attempt) and not attempt.probing:
+                        attempt.probing = True
+                        nursery.start_soon(self._cancel_unless_responsive, attempt)
 
-    def _is_doubtful(self, reading: _Reading) -> bool:
+    def _is_suspect(self, attempt: _WatchedAttempt) -> bool:
         quiet_since = trio.current_time() - SILENCE_SECONDS
-        return reading.heard_at < quiet_since and not reading.is_alive()
+        return attempt.last_data_at < quiet_since and not attempt.is_alive()
 
-    async def _give_up_unless_answered(self, reading: _Reading) -> None:
-        """Ask a silent server something small, and end its attempt if no answer comes.
+    async def _cancel_unless_responsive(self, attempt: _WatchedAttempt) -> None:
+        """Probe a silent server with a small request; cancel its attempt if there is no answer.
 
-        Its announcements also lapse when the VM dies to which it sent them, and a busy server
-        may then be silent between two tokens; its stream would be cut though it is well.
+        The lease also expires when the VM that received the announcements dies.  A healthy server
+        that is slow to produce a token would then lose its stream without this probe.
         """
-        answer = await self.cache_events(reading.target, NO_EVENTS_AFTER)
-        reading.asked = False
-        if answer is None and self._is_doubtful(reading):
-            reading.scope.cancel()
+        answer = await self.cache_events(attempt.target, AFTER_ALL_EVENTS)
+        attempt.probing = False
+        if answer is None and self._is_suspect(attempt):
+            attempt.scope.cancel()
 
     async def __aenter__(self) -> "Backend":
         for client in (self._streams, self._single_use, self._control):
@@ -144,66 +144,66 @@
         is_alive: IsAlive,
         single_use: bool = False,
     ) -> AttemptEnd:
-        """Run one attempt and deliver its pieces until it is whole or breaks off."""
+        """Run one attempt and deliver its pieces until the answer is complete or breaks off."""
         client = self._single_use if single_use else self._streams
         url = f"http://{target.host}:{target.port}{path}"
         content = msgspec.json.encode(body)
-        reading = _Reading(target, trio.CancelScope(), is_alive, trio.current_time())
-        self._readings.add(reading)
+        attempt = _WatchedAttempt(target, trio.CancelScope(), is_alive, trio.current_time())
+        self._watched.add(attempt)
         try:
-            with reading.scope:
+            with attempt.scope:
                 async with client.stream("POST", url, content=content) as response:
-                    self._hear_back_off(target, response)
-                    refusal = _refusal(response, assembler)
-                    if refusal is not None:
-                        return refusal
+                    self._apply_back_off(target, response)
+                    end = _end_without_stream(response, assembler)
+                    if end is not None:
+                        return end
                     accepted(int(response.headers.get("X-Accepted", "0")))
-                    return await self._read(response, assembler, deliver, reading)
-            return Lost(assembler.offset, "server fell silent")
+                    return await self._read(response, assembler, deliver, attempt)
+            return Lost(assembler.offset, "the server stopped responding")
         except httpx.HTTPError as error:
             if connection_failed(error):
                 return NotBegun(type(error).__name__, reached=False)
             return Lost(assembler.offset, type(error).__name__)
         except (msgspec.MsgspecError, ValueError) as error:
-            # A server that speaks nonsense costs its own attempt and nothing else.
+            # A malformed answer fails only its own attempt.
             self._counters.count("backend.nonsense")
-            return Lost(assembler.offset, f"nonsense: {type(error).__name__}")
+            return Lost(assembler.offset, f"malformed answer: {type(error).__name__}")
         finally:
-            self._readings.discard(reading)
+            self._watched.discard(attempt)
 
     async def _read(
         self,
         response: httpx.Response,
         assembler: Assembler,
         deliver: Deliver,
-        reading: _Reading,
+        attempt: _WatchedAttempt,
     ) -> AttemptEnd:
-        """Read and deliver chunks until the answer is whole or breaks off."""
-        buffered = b""
+        """Read and deliver chunks until the answer is complete or breaks off."""
+        partial_line = b""
         async for data in response.aiter_raw():
-            reading.heard_at = trio.current_time()
-            *whole, buffered = (buffered + data).split(b"\n")
-            end = await self._feed(whole, assembler, deliver)
+            attempt.last_data_at = trio.current_time()
+            *lines, partial_line = (partial_line + data).split(b"\n")
+            end = await self._process_lines(lines, assembler, deliver)
             if end is not None:
                 return end
-        return Lost(assembler.offset, "stream ended early")
+        return Lost(assembler.offset, "the stream ended early")
 
-    async def _feed(
+    async def _process_lines(
         self, lines: list[bytes], assembler: Assembler, deliver: Deliver
     ) -> AttemptEnd | None:
-        """Deliver what has arrived together as one batch, which delays nothing."""
+        """Deliver the pieces that arrived together as one batch, which adds no delay."""
         pieces: list[Piece] = []
         end: AttemptEnd | None = None
         for line in lines:
-            step = assembler.feed(msgspec.json.decode(line, type=Chunk))
-            match step:
+            result = assembler.feed(msgspec.json.decode(line, type=Chunk))
+            match result:
                 case Piece():
-                    pieces.append(step)
+                    pieces.append(result)
                 case Ignored(reason=reason):
                     self._counters.count(f"chunk.ignored.{reason.replace(' ', '_')}")
                 case Gap():
                     self._counters.count("chunk.gap")
-                    end = Lost(assembler.offset, "chunks are missing")
+                    end = Lost(assembler.offset, "the stream skipped chunks")
                 case Complete(tokens=tokens):
                     end = Completed(tokens)
             if end is not None:
@@ -213,30 +213,30 @@
         return end
 
     async def call(self, target: Target, body: dict) -> httpx.Response:
-        """Call a plain service once, on a connection of its own."""
+        """Call a plain service once, on a new connection."""
         url = f"http://{target.host}:{target.port}/v1/call"
         response = await self._single_use.post(url, content=msgspec.json.encode(body))
-        self._hear_back_off(target, response)
+        self._apply_back_off(target, response)
         return response
 
-    def _hear_back_off(self, target: Target, response: httpx.Response) -> None:
-        """Take in that a server turns a request away and wants nothing of this VM for a time."""
-        if response.status_code not in TURNED_AWAY_STATUSES:
+    def _apply_back_off(self, target: Target, response: httpx.Response) -> None:
+        """Record the back-off that a rejection with Retry-After asks for."""
+        if response.status_code not in BACK_OFF_STATUSES:
             return
         seconds = decimal(response.headers.get("Retry-After"))
         if seconds is None:
             return
         self._counters.count("back_off.asked")
-        logger.info("server {} wants nothing for {} s", target.server, seconds)
+        logger.info("server {} asked for a back-off of {} s", target.server, seconds)
         start = (target.server, target.incarnation)
         self._back_offs.ask(start, seconds * 1000, time.monotonic() * 1000)
 
     async def cancel(
         self, target: Target, request: str, attempt: int, unless_began: bool = False
     ) -> str | None:
-        """Cancel an attempt and return its state, or None where nothing is known.
+        """Cancel an attempt and return its state, or None if the state is unknown.
 
-        The answer of another incarnation proves nothing about this one's attempts.
+        The answer of another incarnation proves nothing about the attempts of this one.
         """
         body = AttemptRequest(request=request, attempt=attempt, unless_began=unless_began)
         answer = await self.post(target, "/v1/cancel", body)
@@ -245,9 +245,9 @@
         return answer.get("state")
 
     async def post(
-        self, target: Target, path: str, body, seconds: float = CANCEL_SECONDS
+        self, target: Target, path: str, body, seconds: float = EXCHANGE_TIMEOUT_SECONDS
     ) -> dict | None:
-        """Send one small bounded exchange; None where no proper answer came."""
+        """Send a small request with a timeout; return None unless it gets a valid answer."""
         url = f"http://{target.host}:{target.port}{path}"
         with trio.move_on_after(seconds):
             try:
@@ -258,22 +258,22 @@
                 self._counters.count("backend.exchange_failed")
         return None
 
-    async def refuses(self, target: Target) -> bool:
-        """Tell whether a server's machine refuses connections, as it does for a dead process."""
-        with trio.move_on_after(CANCEL_SECONDS):
+    async def refuses_connections(self, target: Target) -> bool:
+        """Return whether connections are refused, as they are when the process is dead."""
+        with trio.move_on_after(EXCHANGE_TIMEOUT_SECONDS):
             try:
                 await self._control.get(f"http://{target.host}:{target.port}/")
             except httpx.ConnectError:
                 return True
             except httpx.HTTPError:
-                # It listens, or says nothing; neither is a dead process.
+                # Other errors do not prove that the process is dead.
                 self._counters.count("backend.exchange_failed")
         return False
 
     async def cache_events(self, target: Target, after: int) -> CacheEvents | None:
-        """Fetch a server's cache events after a sequence number."""
+        """Fetch the cache events of a server after a sequence number."""
         url = f"http://{target.host}:{target.port}/v1/cache-events?after={after}"
-        with trio.move_on_after(CANCEL_SECONDS):
+        with trio.move_on_after(EXCHANGE_TIMEOUT_SECONDS):
             try:
                 response = await self._control.get(url)
                 return msgspec.json.decode(response.content, type=CacheEvents)
@@ -282,8 +282,8 @@
         return None
 
 
-def _refusal(response: httpx.Response, assembler: Assembler) -> AttemptEnd | None:
-    """Return how an attempt ended that gave no stream, or None where it streams."""
+def _end_without_stream(response: httpx.Response, assembler: Assembler) -> AttemptEnd | None:
+    """Return the end of an attempt that was answered without a stream, or None for a stream."""
     match response.status_code:
         case 200:
             return None
--- a/siskinspoke/entry/calls.py
+++ b/siskinspoke/entry/calls.py
@@ -1,4 +1,4 @@
-"""Answer one request to a plain service; some of its calls must not be repeated."""
+"""Serve one request to a plain service, at most once if it is not idempotent."""
 
 import httpx
 import msgspec
@@ -12,18 +12,22 @@
 from siskinspoke.core.codes import FACTS, Failure, ResultCode, Run
 from siskinspoke.entry.backend import connection_failed
 from siskinspoke.entry.claiming import (
+    AlreadyClaimed,
     Claimed,
-    Held,
     claim,
     claim_name,
     find_out,
-    honest,
     lookup,
     settle_not_run,
     settle_ran,
+    verify_not_run,
 )
 from siskinspoke.entry.context import EntryContext, now_ms, target_of
-from siskinspoke.entry.crashes import note_refusal, refusal, verdict_on
+from siskinspoke.entry.crashes import (
+    count_quarantine_refusal,
+    handle_connection_refused,
+    wait_for_verdict,
+)
 from siskinspoke.entry.requests import Call, Caller
 from siskinspoke.protocol.claims import ClaimAnswer, Target
 
@@ -32,11 +36,11 @@
 
 
 class _NotBegun(Exception):  # noqa: N818  (an outcome, not an error)
-    """No byte of the call left, or the server refused it."""
+    """No byte of the call was sent, or the server refused to run it."""
 
 
-def _answer_of(response: httpx.Response) -> dict:
-    """Return a service's answer; one that is no JSON object is kept as text."""
+def _decode_answer(response: httpx.Response) -> dict:
+    """Decode the answer of a service; wrap anything but a JSON object as text."""
     try:
         return msgspec.json.decode(response.content, type=dict)
     except msgspec.MsgspecError:
@@ -44,43 +48,47 @@
 
 
 class CallJob:
-    """One call of a plain service."""
+    """Run one call of a plain service."""
 
     def __init__(
-        self, context: EntryContext, caller: Caller, call: Call, request_id: str, arrived: float
+        self, context: EntryContext, caller: Caller, call: Call, request_id: str, arrived_at: float
     ):
         self._context = context
         self._caller = caller
         self._call = call
         self._request_id = request_id
-        seconds = call.timeout_ms / 1000
-        self._deadline = arrived + seconds - margin_seconds(seconds, context.standstill.lateness)
+        timeout_seconds = call.timeout_ms / 1000
+        self._deadline = (
+            arrived_at
+            + timeout_seconds
+            - margin_seconds(timeout_seconds, context.stall_detector.lateness)
+        )
         self._dispatched = False
         self._excluded: set[str] = set()
         self._identity = Subject(caller.customer, call.service, call.input)
 
     async def run(self) -> dict | Failure:
-        """Return the service's answer or the final failure."""
+        """Return the answer of the service or the final failure."""
         with trio.move_on_at(self._deadline):
-            verdict = await verdict_on(self._context, self._identity)
+            verdict = await wait_for_verdict(self._context, self._identity)
             match verdict:
                 case Quarantined() if self._call.key is None:
-                    return refusal(self._context, verdict)
+                    return count_quarantine_refusal(self._context, verdict)
                 case Quarantined():
-                    failure = refusal(self._context, verdict)
-                    return await honest(self._context, self._subject(), failure)
+                    failure = count_quarantine_refusal(self._context, verdict)
+                    return await verify_not_run(self._context, self._subject(), failure)
                 case Probation():
                     self._context.crashes.probe(self._identity, now_ms())
             if self._call.key is not None:
                 return await self._run_claimed()
             return await self._run_plain()
-        # One with a key may be the resend of a request that ran at another VM.
+        # A request with an idempotency key may be the resend of one that ran at another VM.
         unknown = self._dispatched or self._call.key is not None
         run = Run.UNKNOWN if unknown else Run.NOT_RUN
         return Failure(ResultCode.DEADLINE_PASSED, "the deadline passed", None, run)
 
     def _choose(self) -> ServerRecord | None:
-        """Return the server with the fewest calls that has not failed this request."""
+        """Return the least busy server that has not failed this request; ties go to local ones."""
         now = now_ms()
         serving = self._context.directory.serving(self._call.service, now)
         serving = self._context.router.open_now(serving, now)
@@ -88,19 +96,19 @@
         if not usable:
             return None
         self._context.rng.shuffle(usable)
-        home = self._context.me.failure_domain
+        local_domain = self._context.vm.failure_domain
         return min(
             usable,
-            key=lambda r: (r.announcement.running, r.announcement.failure_domain != home),
+            key=lambda r: (r.announcement.running, r.announcement.failure_domain != local_domain),
         )
 
-    def _nobody(self) -> Failure:
+    def _no_server_failure(self) -> Failure:
         context = self._context
         failure = context.router.nobody(self._call.service, now_ms(), context.rng)
         return failure._replace(retry_after_ms=max(RETRY_LATER_MS, failure.retry_after_ms))
 
     async def _send(self, target: Target, attempt: int) -> dict:
-        """Call the server once; raise _NotBegun where it is proven not to have begun."""
+        """Call the server once; raise _NotBegun if the call provably never began."""
         body = {
             "request": self._request_id,
             "attempt": attempt,
@@ -126,33 +134,33 @@
             self._dispatched = False
             raise _NotBegun
         response.raise_for_status()
-        return _answer_of(response)
+        return _decode_answer(response)
 
     def _subject(self) -> str:
         key = self._call.key
         return claim_name(self._caller.customer, key) if key else self._request_id
 
     async def _run_plain(self) -> dict | Failure:
-        """Call an idempotent service; a call that broke is repeated within the budget."""
+        """Call an idempotent service and retry failed calls within the retry budget."""
         context = self._context
         context.retries.first_attempt()
-        reason = "no attempt succeeded"
+        reason = "all attempts failed"
         for attempt in range(1, MAX_ATTEMPTS + 1):
             record = self._choose()
             if record is None:
-                return self._nobody()
+                return self._no_server_failure()
             target = target_of(record)
             try:
                 return await self._send(target, attempt)
             except _NotBegun:
-                self._give_up_on(target)
-                reason = "the server did not take the call"
+                self._exclude_unreachable(target)
+                reason = "the server did not accept the call"
             except httpx.HTTPError as error:
                 self._excluded.add(target.server)
                 reason = type(error).__name__
-                await self._look_for_crash(target)
-                if isinstance(await verdict_on(context, self._identity), Quarantined):
-                    reason = "servers crash under this request"
+                await self._check_for_crash(target)
+                if isinstance(await wait_for_verdict(context, self._identity), Quarantined):
+                    reason = "this request may be crashing servers"
                     break
             if not context.retries.take():
                 context.counters.count("retry.budget_spent")
@@ -161,57 +169,59 @@
         run = Run.UNKNOWN if self._dispatched else Run.NOT_RUN
         return Failure(ResultCode.DISPATCH_FAILED, reason, RETRY_LATER_MS, run)
 
-    async def _look_for_crash(self, target: Target) -> None:
-        """Find out whether a server that broke off a call has crashed."""
-        if await self._context.backend.refuses(target):
-            await note_refusal(self._context, target)
+    async def _check_for_crash(self, target: Target) -> None:
+        """Check whether a server has crashed after a call to it broke off."""
+        if await self._context.backend.refuses_connections(target):
+            await handle_connection_refused(self._context, target)
 
-    def _give_up_on(self, target: Target) -> None:
+    def _exclude_unreachable(self, target: Target) -> None:
         self._excluded.add(target.server)
         self._context.directory.suspect(target.server, target.incarnation, now_ms())
 
     async def _run_claimed(self) -> dict | Failure:
-        """Call a service at most once for this key, whoever else asks for it."""
+        """Call a service at most once for this key, also when the request is resent."""
         context = self._context
         for _ in range(MAX_ATTEMPTS):
             record = self._choose()
             if record is None:
-                return await self._without_server()
+                return await self._answer_without_server()
             outcome = await claim(context, self._subject(), self._call.key, target_of(record))
             if outcome.is_error():
                 return outcome.error
             match outcome.ok:
                 case Claimed(attempt=attempt):
                     answer = await self._run_attempt(target_of(record), attempt)
-                case Held(answer=held):
-                    answer = await self._look_at(held)
+                case AlreadyClaimed(answer=held):
+                    answer = await self._answer_from_claim(held)
             if answer is not None:
                 return answer
-        return Failure(ResultCode.DISPATCH_FAILED, "no attempt began", RETRY_LATER_MS, Run.NOT_RUN)
+        return Failure(
+            ResultCode.DISPATCH_FAILED, "no server started an attempt", RETRY_LATER_MS, Run.NOT_RUN
+        )
 
-    async def _without_server(self) -> dict | Failure:
-        """Answer while no server can be reached: from the claim, where there is one."""
+    async def _answer_without_server(self) -> dict | Failure:
+        """Answer from the claim, if there is one, when no server is available."""
         context = self._context
         found = await lookup(context, self._subject())
         if found.is_error():
-            return self._nobody()._replace(run=Run.UNKNOWN)
+            return self._no_server_failure()._replace(run=Run.UNKNOWN)
         if found.ok.code == ResultCode.OK:
-            return self._nobody()
-        return await self._look_at(found.ok) or self._nobody()
+            return self._no_server_failure()
+        return await self._answer_from_claim(found.ok) or self._no_server_failure()
 
     async def _run_attempt(self, target: Target, attempt: int) -> dict | Failure | None:
-        """Run the claimed attempt; None means that another one may begin."""
+        """Run the claimed attempt; None allows another attempt."""
         context = self._context
         try:
             answer = await self._send(target, attempt)
         except _NotBegun:
-            self._give_up_on(target)
+            self._exclude_unreachable(target)
             await settle_not_run(context, self._subject(), attempt)
             return None
         except httpx.HTTPStatusError as error:
-            return await self._server_error(error, attempt)
+            return await self._settle_server_error(error, attempt)
         except httpx.HTTPError:
-            await self._look_for_crash(target)
+            await self._check_for_crash(target)
             if await find_out(context, target, self._request_id, attempt):
                 self._excluded.add(target.server)
                 await settle_not_run(context, self._subject(), attempt)
@@ -221,38 +231,42 @@
         await settle_ran(context, self._subject(), attempt, 200, body)
         return answer
 
-    async def _server_error(self, error: httpx.HTTPStatusError, attempt: int) -> Failure:
+    async def _settle_server_error(self, error: httpx.HTTPStatusError, attempt: int) -> Failure:
         status = error.response.status_code
         await settle_ran(self._context, self._subject(), attempt, status, "")
         return Failure(ResultCode.SERVER_ERROR, f"the service answered {status}")
 
-    async def _look_at(self, held: ClaimAnswer) -> dict | Failure | None:
-        """Answer a resend from what is known of the attempt that holds the claim."""
+    async def _answer_from_claim(self, claim_answer: ClaimAnswer) -> dict | Failure | None:
+        """Answer a resend from the state of the attempt that holds the claim."""
         context = self._context
-        if held.code == ResultCode.ALREADY_RAN:
-            if held.status == 200 and held.body:
-                return msgspec.json.decode(held.body.encode())
-            if held.status != 200:
-                return Failure(ResultCode.SERVER_ERROR, f"the service answered {held.status}")
-            return Failure(ResultCode.ALREADY_RAN, "the call ran; its answer is not kept")
+        if claim_answer.code == ResultCode.ALREADY_RAN:
+            if claim_answer.status == 200 and claim_answer.body:
+                return msgspec.json.decode(claim_answer.body.encode())
+            if claim_answer.status != 200:
+                return Failure(
+                    ResultCode.SERVER_ERROR, f"the service answered {claim_answer.status}"
+                )
+            return Failure(
+                ResultCode.ALREADY_RAN, "the call ran; its answer is no longer available"
+            )
         state = await context.backend.cancel(
-            held.target, self._request_id, held.attempt, unless_began=True
+            claim_answer.target, self._request_id, claim_answer.attempt, unless_began=True
         )
         match state:
             case "never_began":
-                await settle_not_run(context, self._subject(), held.attempt)
+                await settle_not_run(context, self._subject(), claim_answer.attempt)
                 context.counters.count("claim.freed")
                 return None
             case "running":
                 message = FACTS[ResultCode.IN_PROGRESS].meaning
                 return Failure(ResultCode.IN_PROGRESS, message, RETRY_LATER_MS)
             case "finished":
-                return await self._record_ran(held)
+                return await self._settle_finished(claim_answer)
             case _:
                 message = "the first attempt may have run"
                 return Failure(ResultCode.FATE_UNKNOWN, message, RETRY_LATER_MS)
 
-    async def _record_ran(self, held: ClaimAnswer) -> Failure:
-        """Settle for an owner that is gone; its answer was lost with it."""
-        await settle_ran(self._context, self._subject(), held.attempt, 200, "")
-        return Failure(ResultCode.ALREADY_RAN, "the call ran; its answer is not kept")
+    async def _settle_finished(self, claim_answer: ClaimAnswer) -> Failure:
+        """Settle the claim of an owner that died, and whose answer was lost with it."""
+        await settle_ran(self._context, self._subject(), claim_answer.attempt, 200, "")
+        return Failure(ResultCode.ALREADY_RAN, "the call ran; its answer is no longer available")
--- a/siskinspoke/entry/claiming.py
+++ b/siskinspoke/entry/claiming.py
@@ -1,4 +1,4 @@
-"""Claim, settle and find out about non-idempotent attempts, for models and plain services."""
+"""Claims on non-idempotent attempts of models and plain services."""
 
 from dataclasses import dataclass
 
@@ -23,45 +23,45 @@
 
 @dataclass(frozen=True)
 class Claimed:
-    """This request holds the claim and may dispatch this attempt."""
+    """The claim was granted; this request may dispatch the attempt."""
 
     attempt: int
 
 
 @dataclass(frozen=True)
-class Held:
-    """Another attempt holds the claim, or has ended."""
+class AlreadyClaimed:
+    """Another attempt holds the claim or has already ended."""
 
     answer: ClaimAnswer
 
 
 def claim_name(customer: str, key: IdempotencyKey) -> str:
-    """Return the name under which a customer's key is claimed."""
+    """Return the name of the claim on a customer's idempotency key."""
     return f"{customer}/{key.text}"
 
 
 async def claim(
     context: EntryContext, name: str, key: IdempotencyKey, target: Target
-) -> Result[Claimed | Held, Failure]:
+) -> Result[Claimed | AlreadyClaimed, Failure]:
     """Claim a key for a target; an Error means that nothing was dispatched.
 
-    The owner names this one try, so that a claim whose answer was lost and that is asked
-    again within the try is granted again, and by nobody else.
+    The owner is unique to this call.  If the answer is lost and the claim is requested again
+    within the call, it is granted again, but not to any other owner.
     """
     limits = context.holder.current.configuration.limits
     owner = context.next_request_id()
     request = ClaimRequest(name, key.expires_ms, limits.key_lifetime_ms, owner, target)
-    asked = await context.control.claim(request, CLAIM_SECONDS)
-    if asked.is_error():
-        return asked
-    answer = asked.ok
+    result = await context.control.claim(request, CLAIM_SECONDS)
+    if result.is_error():
+        return result
+    answer = result.ok
     match ResultCode(answer.code):
         case ResultCode.OK:
             context.counters.count("claim.granted")
             return Ok(Claimed(answer.attempt))
         case ResultCode.IN_PROGRESS | ResultCode.ALREADY_RAN:
             context.counters.count("claim.held")
-            return Ok(Held(answer))
+            return Ok(AlreadyClaimed(answer))
         case ResultCode.KEY_EXPIRED:
             return Error(Failure(ResultCode.KEY_EXPIRED, "the key has expired"))
         case code:
@@ -70,18 +70,18 @@
 
 
 async def lookup(context: EntryContext, name: str) -> Result[ClaimAnswer, Failure]:
-    """Return what is held on a key; OK in the answer means nothing.
+    """Return the claim on a key; the code OK in the answer means that there is none.
 
-    The wait is short: it stands before refusals, which are to be given at once.
+    The timeout is short because refusals, which must be prompt, wait for this lookup.
     """
     return await context.control.lookup(LookupRequest(name), LOOKUP_SECONDS)
 
 
-async def honest(context: EntryContext, name: str, failure: Failure) -> Failure:
-    """Return a refusal that says 'not run' only if no attempt of its key can have run.
+async def verify_not_run(context: EntryContext, name: str, failure: Failure) -> Failure:
+    """Return a failure that says 'not run' only if no attempt with its key can have run.
 
-    The request may be a resend: the first attempt runs at another VM while this one, which
-    knows nothing of it, refuses for a reason of its own.
+    The request may be a resend whose first attempt runs at another VM, while this VM, which does
+    not know about it, refuses the resend for a local reason.
     """
     if failure.fate is not Run.NOT_RUN:
         return failure
@@ -99,22 +99,22 @@
 async def settle_ran(
     context: EntryContext, name: str, attempt: int, status: int, body: str
 ) -> None:
-    """Record that an attempt ran; a lost record only means that a resend must find out."""
+    """Record that an attempt ran; if the record is lost, a resend asks the server."""
     request = SettleRequest(name, attempt, True, status, body)
     await context.control.settle(request, SETTLE_SECONDS)
 
 
 async def settle_not_run(context: EntryContext, name: str, attempt: int) -> None:
-    """Free a key whose attempt is proven never to have begun."""
+    """Free a key whose attempt provably never began."""
     request = SettleRequest(name, attempt, False, 0, "")
     await context.control.settle(request, SETTLE_SECONDS)
 
 
 async def find_out(context: EntryContext, target: Target, request: str, attempt: int) -> bool:
-    """Tell whether it is proven that an attempt never began and never will.
+    """Return whether an attempt provably never began and never will.
 
-    The server itself must confirm it, in the incarnation that the claim names: one restarted
-    since knows nothing of what it ran before.
+    The server must confirm it in the incarnation that the claim names, because a restarted
+    server does not know which attempts it ran before.
     """
     state = await context.backend.cancel(target, request, attempt, unless_began=True)
     return state == CancelState.NEVER_BEGAN
--- a/siskinspoke/entry/completion_attempts.py
+++ b/siskinspoke/entry/completion_attempts.py
@@ -1,4 +1,4 @@
-"""One request to a model on its way: its attempts at servers, and what comes of them."""
+"""The attempts of one model request at backend servers."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -12,9 +12,16 @@
 from siskinspoke.coordination.routing import Choice, Ticket, Work, length_class
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.entry import groups
-from siskinspoke.entry.backend import REFUSED, AttemptEnd, Completed, Lost, NotBegun, Unknown
+from siskinspoke.entry.backend import (
+    CONNECTION_REFUSED,
+    AttemptEnd,
+    Completed,
+    Lost,
+    NotBegun,
+    Unknown,
+)
 from siskinspoke.entry.context import EntryContext, now_ms, target_of
-from siskinspoke.entry.crashes import note_refusal
+from siskinspoke.entry.crashes import handle_connection_refused
 from siskinspoke.entry.requests import Caller, Completion
 from siskinspoke.entry.stream_tokens import StreamToken
 from siskinspoke.protocol.assembly import Assembler, Piece
@@ -24,12 +31,12 @@
 
 OUTBOX_BATCHES = 64
 ATTEMPT_LEASE_MS = 5_000
-RESUME_TRIES = 2
+MAX_RESUMES = 2
 RETRY_LATER_MS = 2_000
 
 
 def run_end(end: AttemptEnd | None) -> RunEnd:
-    """Return what the end of an attempt proves; None is one that was cancelled."""
+    """Map the end of an attempt to a run end; None stands for a cancelled attempt."""
     match end:
         case Completed():
             return RunEnd.WHOLE
@@ -39,25 +46,25 @@
 
 
 class ReaderTooSlowError(Exception):
-    """The caller read nothing for its whole allowance."""
+    """The caller read nothing for ``reader_timeout_ms``."""
 
 
 @dataclass
 class Progress:
-    """How far an answer has come, for its deadline, its retries and its clean-up."""
+    """The state of an answer that deadlines, retries and cleanup depend on."""
 
     offset: int = 0
     text: list[str] = field(default_factory=list)
     attempt: int = 0
-    running: Target | None = None
+    running_target: Target | None = None
     dispatched: bool = False
     first_token_at: float | None = None
-    left_out: LeftOut = field(default_factory=LeftOut)
-    abandoned: bool = False
+    excluded: LeftOut = field(default_factory=LeftOut)
+    caller_gone: bool = False
 
 
 class CompletionAttempts:
-    """Send a request to servers, and pass on what they answer."""
+    """Send a request to backend servers and deliver their answers to the outbox."""
 
     def __init__(
         self,
@@ -73,32 +80,32 @@
         self.failure: Failure | None = None
         self.token: StreamToken | None = None
         self._context = context
-        late = context.standstill.lateness
-        self._deadline = deadline - margin_seconds(completion.timeout_ms / 1000, late)
+        timer_lateness = context.stall_detector.lateness
+        self._deadline = deadline - margin_seconds(completion.timeout_ms / 1000, timer_lateness)
         self.scope = trio.CancelScope(deadline=self._deadline)
         self._limits = context.holder.current.configuration.limits
         self._progress = Progress()
         self._prompt_tokens = count_tokens(completion.prompt)
-        self._blocks = prefix_blocks(completion.prompt)
+        self._prefix_blocks = prefix_blocks(completion.prompt)
         self._send, self.outbox = trio.open_memory_channel[list[Piece]](OUTBOX_BATCHES)
 
     @property
     def prompt_tokens(self) -> int:
-        """Return the tokens of the prompt."""
+        """Return the number of prompt tokens."""
         return self._prompt_tokens
 
     @property
     def tokens(self) -> int:
-        """Return the tokens answered so far."""
+        """Return the number of tokens answered so far."""
         return self._progress.offset
 
     @cached_property
-    def _subject(self) -> Subject:
-        """Return what tells whether another request is the same."""
+    def _identity(self) -> Subject:
+        """Return the identity by which repeats of the request are recognized."""
         target = f"{self.completion.service}/{self.completion.max_tokens}"
         return Subject(self.caller.customer, target, self.completion.prompt)
 
-    def _work(self) -> Work:
+    def _routing_request(self) -> Work:
         limits = self._limits
         return Work(
             self.completion.service,
@@ -106,15 +113,15 @@
             self.completion.max_tokens - self._progress.offset,
             length_class(self._prompt_tokens, limits.short_tokens, limits.long_tokens),
             self.caller.priority,
-            self._blocks,
+            self._prefix_blocks,
             (self._deadline - trio.current_time()) * 1000,
-            frozenset(self._progress.left_out.names(self._context.directory, now_ms())),
+            frozenset(self._progress.excluded.names(self._context.directory, now_ms())),
         )
 
-    def _given_up(self, message: str) -> Failure:
+    def _dispatch_failure(self, message: str) -> Failure:
         if self._progress.offset:
             return Failure(ResultCode.ENGINE_LOST, message, RETRY_LATER_MS)
-        return Failure(ResultCode.DISPATCH_FAILED, message, RETRY_LATER_MS, self._fate())
+        return Failure(ResultCode.DISPATCH_FAILED, message, RETRY_LATER_MS, self._run_status())
 
     def _generate_body(self) -> GenerateRequest:
         progress = self._progress
@@ -124,18 +131,20 @@
             model=self.completion.service,
             prompt=self.completion.prompt + "".join(progress.text),
             max_tokens=self.completion.max_tokens,
-            priority=self._work().rank,
+            priority=self._routing_request().rank,
             offset=progress.offset,
             lease_ms=ATTEMPT_LEASE_MS,
         )
 
     async def _attempt(self, choice: Choice, body: GenerateRequest) -> AttemptEnd:
-        """Dispatch one attempt to the head of a choice and read its answer."""
+        """Dispatch one attempt to the first server of a choice and read its answer."""
         context, record = self._context, choice.servers[0]
         target = target_of(record)
-        ticket = context.router.dispatched(record, self._work(), choice.uncached_tokens, now_ms())
-        self._note_running(target)
-        run = self._run_at(target)
+        ticket = context.router.dispatched(
+            record, self._routing_request(), choice.uncached_tokens, now_ms()
+        )
+        self._set_running_target(target)
+        run = self._start_run(target)
         end: AttemptEnd | None = None
         try:
             end = await self._dispatch(target, body, ticket)
@@ -143,32 +152,32 @@
             context.router.ended(ticket)
             context.crashes.ended(run, run_end(end), now_ms())
         if isinstance(end, Completed):
-            context.router.prefixes.stored(target.server, self._blocks)
+            context.router.prefixes.stored(target.server, self._prefix_blocks)
         return end
 
-    def _run_at(self, *targets: Target) -> Run:
-        """Note an attempt, for who asks later which requests were open at a server."""
+    def _start_run(self, *targets: Target) -> Run:
+        """Record an attempt, so that a crash can be attributed to the requests open at a server."""
         starts = [(target.server, target.incarnation) for target in targets]
-        return self._context.crashes.began(self._subject, starts, now_ms())
+        return self._context.crashes.began(self._identity, starts, now_ms())
 
     async def _dispatch(
         self, target: Target, body: GenerateRequest, ticket: Ticket | None
     ) -> AttemptEnd:
-        """Send an attempt; from before its first byte on it counts as dispatched.
+        """Send an attempt, marked as dispatched before its first byte leaves.
 
-        The deadline may pass while a frozen server has the request and has said nothing:
-        only a proof that it never began takes the mark back.
+        The deadline may pass while a frozen server holds the request without responding, so the
+        mark is removed only on proof that the attempt never began.
         """
-        before = self._progress.dispatched
+        was_dispatched = self._progress.dispatched
         self._progress.dispatched = True
         end = await self._stream(target, "/v1/generate", body, ticket)
         if isinstance(end, NotBegun):
-            self._progress.dispatched = before
+            self._progress.dispatched = was_dispatched
         return end
 
-    def _note_running(self, target: Target, group: groups.Group | None = None) -> None:
+    def _set_running_target(self, target: Target, group: groups.Group | None = None) -> None:
         progress = self._progress
-        progress.running = target
+        progress.running_target = target
         self.token = StreamToken(
             self.caller.customer,
             self.request_id,
@@ -180,25 +189,25 @@
         )
 
     async def _resume_while_alive(self, end: AttemptEnd, target: Target) -> AttemptEnd:
-        """Read on where a stream broke off, for as long as its server announces itself."""
-        for _ in range(RESUME_TRIES):
+        """Resume a broken stream while its server still sends announcements."""
+        for _ in range(MAX_RESUMES):
             if not isinstance(end, Lost) or not self._context.is_alive(target):
                 break
             self._context.counters.count("retried.resume")
             end = await self._resume(target)
-            await self._note_crash(target, end)
+            await self._check_for_crash(target, end)
         return end
 
-    async def _note_crash(self, target: Target, resumed: AttemptEnd) -> None:
-        """Take in what a server's word after a break shows: refused, or nothing known of it."""
-        match resumed:
-            case NotBegun(reason=reason) if reason == REFUSED:
-                await note_refusal(self._context, target)
+    async def _check_for_crash(self, target: Target, end: AttemptEnd) -> None:
+        """Record a crash if the server refuses the connection or does not know the attempt."""
+        match end:
+            case NotBegun(reason=reason) if reason == CONNECTION_REFUSED:
+                await handle_connection_refused(self._context, target)
             case Unknown():
-                self._context.crashed(target)
+                self._context.record_crash(target)
 
     async def _resume(self, target: Target) -> AttemptEnd:
-        """Read on from a server that still runs the attempt, after its connection broke."""
+        """Continue reading from a server that still runs the attempt."""
         body = {
             "request": self.request_id,
             "attempt": self._progress.attempt,
@@ -234,11 +243,11 @@
         )
 
     async def _deliver(self, pieces: list[Piece], ticket: Ticket | None) -> None:
-        """Hand pieces to the caller's side, which may hold up nobody but itself.
+        """Put pieces into the outbox; a slow caller blocks only its own request.
 
-        Pieces count as delivered only once they are handed over.  A VM that thaws finds them
-        together with the lapse of their server, and gives the attempt up in this very wait; if
-        they counted then, the next attempt would go on behind them and leave a gap.
+        Pieces count as delivered only after the send.  A VM that resumes after a freeze may read
+        pieces and see the lease of their server expired at once, and then cancels the attempt
+        during the send; counting them earlier would make the next attempt skip them.
         """
         progress = self._progress
         if progress.first_token_at is None:
@@ -249,7 +258,7 @@
             try:
                 await self._send.send(pieces)
             except trio.BrokenResourceError:
-                progress.abandoned = True
+                progress.caller_gone = True
         if scope.cancelled_caught:
             raise ReaderTooSlowError
         for piece in pieces:
--- a/siskinspoke/entry/context.py
+++ b/siskinspoke/entry/context.py
@@ -1,4 +1,4 @@
-"""What the tasks of an entry daemon share."""
+"""State shared by the tasks of an entry daemon."""
 
 import random
 import time
@@ -32,9 +32,9 @@
 
 @dataclass
 class EntryContext:
-    """The parts of one entry daemon; each part owns its own state."""
+    """The components of one entry daemon; each component owns its state."""
 
-    me: EntryVM
+    vm: EntryVM
     settings: Settings
     incarnation: int
     holder: ConfigurationHolder
@@ -50,34 +50,34 @@
     crash_news: trio.MemoryReceiveChannel[CrashNews]
     rng: random.Random
     nursery: trio.Nursery
-    standstill: Standstill
+    stall_detector: Standstill
     open_requests: int = 0
     draining: bool = False
     drain_begun: trio.Event = field(default_factory=trio.Event)
     drained: trio.Event = field(default_factory=trio.Event)
-    on_limits: list[Callable[[Limits], None]] = field(default_factory=list)
+    limit_listeners: list[Callable[[Limits], None]] = field(default_factory=list)
     _requests: int = 0
 
     def apply_limits(self) -> None:
-        """Let everything that keeps a limit of its own take the one in force."""
+        """Pass the limits in force to all components that keep a copy."""
         limits = self.holder.current.configuration.limits
         self.retries.set_share(limits.retry_share)
         self.shares.set_window(limits.fair_window_ms)
-        for take in self.on_limits:
-            take(limits)
+        for listener in self.limit_listeners:
+            listener(limits)
 
     def next_request_id(self) -> str:
-        """Return a request id that no other VM and no other start of this one gives."""
+        """Return a request id that is unique across VMs and restarts."""
         self._requests += 1
-        return f"{self.me.name}.{self.incarnation:x}.{self._requests}"
+        return f"{self.vm.name}.{self.incarnation:x}.{self._requests}"
 
     def refuse(self, failure: Failure) -> Failure:
-        """Count a refusal by its reason and return it."""
+        """Count a refusal by its code and return it."""
         self.counters.count(f"refused.{failure.code.name.lower()}")
         return failure
 
     def is_alive(self, target: Target) -> bool:
-        """Tell whether a server still announces this incarnation, or left in good order."""
+        """Return whether a server still announces this incarnation, or announced that it leaves."""
         record = self.directory.find(target.server, target.incarnation)
         if record is None:
             return False
@@ -85,8 +85,8 @@
             return True
         return now_ms() - record.heard_at < self.settings.announcement_lease_ms
 
-    def crashed(self, target: Target) -> None:
-        """Take in that a server has crashed."""
+    def record_crash(self, target: Target) -> None:
+        """Record that a server has crashed."""
         record = self.directory.latest(target.server)
         service = record.announcement.service if record is not None else ""
         start, now = (target.server, target.incarnation), now_ms()
@@ -94,19 +94,19 @@
         self.crashes.started_anew(start, service, servers, now)
 
     def request_opened(self) -> None:
-        """Count a request that is being answered."""
+        """Increment the number of open requests."""
         self.open_requests += 1
         self.counters.gauge("open_requests", self.open_requests)
 
     def request_closed(self) -> None:
-        """Count a request off; the last one of a draining VM ends the drain."""
+        """Decrement the number of open requests; the last one completes a drain."""
         self.open_requests -= 1
         self.counters.gauge("open_requests", self.open_requests)
         if self.draining and not self.open_requests:
             self.drained.set()
 
     def begin_drain(self) -> None:
-        """Refuse new requests from now on."""
+        """Refuse new requests; ``drained`` is set when no request is open."""
         self.draining = True
         self.drain_begun.set()
         if not self.open_requests:
@@ -115,5 +115,7 @@
 
 def target_of(record: ServerRecord) -> Target:
     """Return the address and incarnation of a server."""
-    said = record.announcement
-    return Target(said.server, said.incarnation, said.host, said.port)
+    announcement = record.announcement
+    return Target(
+        announcement.server, announcement.incarnation, announcement.host, announcement.port
+    )
--- a/siskinspoke/entry/crashes.py
+++ b/siskinspoke/entry/crashes.py
@@ -1,4 +1,4 @@
-"""What an entry VM makes of servers' crashes: who is told, and which requests are not sent."""
+"""Server crashes at an entry VM: detection, exchange between VMs and quarantine."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -17,117 +17,124 @@
 from siskinspoke.protocol.crashes import CrashNews, CrashSpread, CrashWant
 from siskinspoke.transport.datagrams import DatagramPort
 
-# A VM asks another one this often for what it may have missed: a datagram may be lost, the VM may
-# have been cut off, or have just started.  Who knows of no crash does not answer.
-ASK_SECONDS = 3.0
-FORGET_SECONDS = 1.0
+# Interval of requests to a random VM for news that this VM may have missed because a datagram was
+# lost, or the VM was cut off or has just started.  A VM that knows of no crash does not answer.
+REQUEST_INTERVAL_SECONDS = 3.0
+PRUNE_INTERVAL_SECONDS = 1.0
 
 
-class LogLines:
-    """Write events to this process's log."""
+class EventLog:
+    """An event log that writes to the log of this process."""
 
     def note(self, event: str, **fields: Any) -> None:
-        """Write down one event and what decided it."""
+        """Log one event with the fields that explain it."""
         logger.info("{} {}", event, fields)
 
 
-async def verdict_on(context: EntryContext, subject: Subject) -> Verdict:
-    """Return what is to become of a request, once that is decided."""
+async def wait_for_verdict(context: EntryContext, identity: Subject) -> Verdict:
+    """Wait until the quarantine verdict on a request is decided and return it."""
     while True:
-        verdict = context.crashes.judge(subject, now_ms())
+        verdict = context.crashes.judge(identity, now_ms())
         if not isinstance(verdict, Undecided):
             return verdict
         context.counters.count("quarantine.waits")
         await trio.sleep(verdict.wait_seconds)
 
 
-async def note_refusal(context: EntryContext, target: Target) -> None:
-    """Take in that a server refuses connections, unless its whole failure domain does.
+async def handle_connection_refused(context: EntryContext, target: Target) -> None:
+    """Record a crash of a server that refuses connections, unless its whole domain does.
 
-    A cut may reset connections and refuse new ones; then nobody there has crashed.
+    A network partition may reset connections and refuse new ones although no server has crashed.
     """
     record = context.directory.latest(target.server)
     domain = record.announcement.failure_domain if record is not None else ""
     live, has_crashed = context.directory.live(now_ms()), context.crashes.has_crashed
-    asked = witnesses_of(target.server, domain, live, has_crashed, context.rng)
-    reached = [not await context.backend.refuses(target_of(item)) for item in asked]
+    witnesses = witnesses_of(target.server, domain, live, has_crashed, context.rng)
+    reached = [not await context.backend.refuses_connections(target_of(item)) for item in witnesses]
     if speaks_for_cut(reached):
         context.counters.count("crash.doubted")
         logger.info("domain.refuses {}", {"domain": domain, "server": target.server})
         return
-    context.crashed(target)
+    context.record_crash(target)
 
 
-def refusal(context: EntryContext, verdict: Quarantined) -> Failure:
-    """Count a request that is not sent, and return its answer."""
+def count_quarantine_refusal(context: EntryContext, verdict: Quarantined) -> Failure:
+    """Count a request that is refused by quarantine and return its failure."""
     context.counters.count("quarantine.refused")
     return verdict.refusal
 
 
-class CrashTeller:
-    """Tell other entry VMs of crashes: all of the own failure domain, and one of each other.
+class CrashReporter:
+    """Report crashes to all entry VMs of the local failure domain and one of each other domain.
 
-    A VM of a large fleet would otherwise send hundreds of datagrams for each crash.
+    Reporting to every VM would take hundreds of datagrams for each crash in a large fleet.
     """
 
     def __init__(self, context: EntryContext, port: DatagramPort):
         self._context = context
         self._port = port
-        entries = [item for item in context.settings.entries if item.name != context.me.name]
-        self._near = [item for item in entries if item.failure_domain == self._domain]
-        self._far = [item for item in entries if item.failure_domain != self._domain]
+        entries = [item for item in context.settings.entries if item.name != context.vm.name]
+        self._local_entries = [
+            item for item in entries if item.failure_domain == self._local_domain
+        ]
+        self._remote_entries = [
+            item for item in entries if item.failure_domain != self._local_domain
+        ]
 
     @property
-    def _domain(self) -> str:
-        return self._context.me.failure_domain
+    def _local_domain(self) -> str:
+        return self._context.vm.failure_domain
 
     async def run(self) -> None:
-        """Tell what this VM learns, ask for what it may lack, and forget what is old, forever."""
+        """Send local news, request missed news and prune old records, forever."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell_forever)
-            nursery.start_soon(self._ask_forever)
-            nursery.start_soon(self._forget_forever)
+            nursery.start_soon(self._send_forever)
+            nursery.start_soon(self._request_forever)
+            nursery.start_soon(self._prune_forever)
 
-    async def _tell_forever(self) -> None:
+    async def _send_forever(self) -> None:
         async for news in self._context.crash_news:
-            await self._send(news, [*self._near, *self._heads(news)])
+            await self._send(news, [*self._local_entries, *self._one_per_domain(news)])
 
     async def _send(self, news: CrashNews, entries: Iterable[EntryVM]) -> None:
         addresses = [(item.host, item.internal_port) for item in entries]
-        await self._port.send_to_all(CrashSpread(self._domain, news), addresses)
+        await self._port.send_to_all(CrashSpread(self._local_domain, news), addresses)
 
-    def _heads(self, news: CrashNews) -> list[EntryVM]:
-        """Return one VM of each other failure domain; which one differs from crash to crash."""
+    def _one_per_domain(self, news: CrashNews) -> list[EntryVM]:
+        """Return one VM of each other failure domain, chosen by a hash of the news."""
         key = repr(news)
         by_domain: dict[str, dict[str, EntryVM]] = {}
-        for item in self._far:
+        for item in self._remote_entries:
             by_domain.setdefault(item.failure_domain, {})[item.name] = item
         return [items[rendezvous_order(key, items)[0]] for items in by_domain.values()]
 
-    async def _ask_forever(self) -> None:
-        """Ask soon after the start: the caller of such a request may come here next."""
-        others = [*self._near, *self._far]
-        me = self._context.settings.entries.index(self._context.me)
+    async def _request_forever(self) -> None:
+        """Request news from random VMs, first right after the start.
+
+        The caller of a request that crashes servers may retry it at this VM next.
+        """
+        others = [*self._local_entries, *self._remote_entries]
+        own_index = self._context.settings.entries.index(self._context.vm)
         while others:
             other = self._context.rng.choice(others)
-            await self._port.send(CrashWant(me), other.host, other.internal_port)
-            await trio.sleep(ASK_SECONDS * self._context.rng.uniform(0.5, 1.0))
+            await self._port.send(CrashWant(own_index), other.host, other.internal_port)
+            await trio.sleep(REQUEST_INTERVAL_SECONDS * self._context.rng.uniform(0.5, 1.0))
 
-    async def _forget_forever(self) -> None:
+    async def _prune_forever(self) -> None:
         while True:
-            await trio.sleep(FORGET_SECONDS)
+            await trio.sleep(PRUNE_INTERVAL_SECONDS)
             self._context.crashes.forget(now_ms())
 
-    async def hear(self, spread: CrashSpread) -> None:
-        """Take in what another VM tells; pass on in this failure domain what came from outside."""
-        fresh = self._context.crashes.hear(spread.news, now_ms())
-        if any(fresh) and spread.domain != self._domain:
-            await self._send(fresh, self._near)
+    async def receive(self, spread: CrashSpread) -> None:
+        """Apply news of another VM; forward news from other failure domains locally."""
+        unseen = self._context.crashes.hear(spread.news, now_ms())
+        if any(unseen) and spread.domain != self._local_domain:
+            await self._send(unseen, self._local_entries)
 
-    async def answer(self, want: CrashWant) -> None:
-        """Tell a VM that may have started just now all that matters."""
+    async def handle_want(self, request: CrashWant) -> None:
+        """Send all relevant news to a VM that requests them."""
         entries = self._context.settings.entries
-        if not 0 <= want.place < len(entries):
+        if not 0 <= request.place < len(entries):
             return
         for news in self._context.crashes.all_news(now_ms()):
-            await self._send(news, [entries[want.place]])
+            await self._send(news, [entries[request.place]])
--- a/siskinspoke/entry/daemon.py
+++ b/siskinspoke/entry/daemon.py
@@ -1,4 +1,4 @@
-"""Compose the entry daemon and run it until it has drained."""
+"""Set up the entry daemon and run it until it has drained."""
 
 import random
 import signal
@@ -23,12 +23,12 @@
 from siskinspoke.entry.backend import Backend
 from siskinspoke.entry.context import EntryContext
 from siskinspoke.entry.control_client import ControlClient
-from siskinspoke.entry.crashes import CrashTeller, LogLines
+from siskinspoke.entry.crashes import CrashReporter, EventLog
 from siskinspoke.entry.followers import (
     AnnouncementFollower,
     CacheFollower,
     ConfigurationFollower,
-    forget_forever,
+    prune_forever,
 )
 from siskinspoke.entry.internal_app import internal_app
 from siskinspoke.entry.janitor import Janitor
@@ -38,11 +38,10 @@
 from siskinspoke.transport.datagrams import open_datagram_port
 from siskinspoke.transport.http import HttpServer, serve
 
-REFUSING_SECONDS = 0.5
-CHORES_SECONDS = 3.0
+DRAIN_NOTICE_SECONDS = 0.5
+CLEANUP_SECONDS = 3.0
 WARM_UP_LEASES = 0.5
-# News of crashes that wait to be told.
-MOST_CRASH_NEWS = 256
+MAX_PENDING_CRASH_NEWS = 256
 
 
 def make_context(
@@ -53,112 +52,114 @@
     counters: Counters,
     nursery: trio.Nursery,
 ) -> EntryContext:
-    """Return the wired parts of an entry daemon."""
-    me = settings.entry(name)
+    """Create and connect the components of an entry daemon."""
+    vm = settings.entry(name)
     limits = settings.configuration.limits
     directory = Directory(settings.announcement_lease_ms)
 
-    news, crash_news = trio.open_memory_channel[CrashNews](MOST_CRASH_NEWS)
+    crash_news_sender, crash_news = trio.open_memory_channel[CrashNews](MAX_PENDING_CRASH_NEWS)
 
-    def tell(item: CrashNews) -> None:
+    def enqueue_crash_news(item: CrashNews) -> None:
         try:
-            news.send_nowait(item)
+            crash_news_sender.send_nowait(item)
         except trio.WouldBlock:
             counters.count("crash.untold")
 
-    def is_gone(target: Target) -> bool:
+    def is_superseded(target: Target) -> bool:
         return directory.superseded(target.server, target.incarnation)
 
     return EntryContext(
-        me=me,
+        vm=vm,
         settings=settings,
         incarnation=time.time_ns(),
         holder=ConfigurationHolder(settings.configuration, settings.configuration_document),
         directory=directory,
-        router=Router(directory, PrefixIndex(), me.failure_domain, backend.back_offs),
+        router=Router(directory, PrefixIndex(), vm.failure_domain, backend.back_offs),
         shares=FairShares(limits.fair_window_ms),
         retries=RetryBudget(limits.retry_share),
         counters=counters,
         backend=backend,
         control=control,
-        janitor=Janitor(backend, counters, is_gone),
-        crashes=CrashWatch(tell, counters, LogLines()),
+        janitor=Janitor(backend, counters, is_superseded),
+        crashes=CrashWatch(enqueue_crash_news, counters, EventLog()),
         crash_news=crash_news,
         rng=random.Random(),
         nursery=nursery,
-        standstill=Standstill(trio.current_time()),
+        stall_detector=Standstill(trio.current_time()),
     )
 
 
 async def run_entry(settings: Settings, name: str) -> None:
     """Run the entry daemon of that name until SIGTERM, then drain."""
-    me = settings.entry(name)
+    vm = settings.entry(name)
     counters = counters_for(name, settings.statsd_host, settings.statsd_port)
     shutdown = trio.Event()
     async with AsyncExitStack() as stack:
-        backend = await stack.enter_async_context(Backend(counters, me.host))
+        backend = await stack.enter_async_context(Backend(counters, vm.host))
         control = await stack.enter_async_context(
-            ControlClient(settings.controls, settings.internal_key, name, counters, me.host)
+            ControlClient(settings.controls, settings.internal_key, name, counters, vm.host)
         )
         nursery = await stack.enter_async_context(trio.open_nursery())
         context = make_context(settings, name, backend, control, counters, nursery)
-        port = await open_datagram_port(me.host, me.internal_port, settings.internal_key, counters)
-        follower = ConfigurationFollower(context)
-        follower.load()
+        datagram_port = await open_datagram_port(
+            vm.host, vm.internal_port, settings.internal_key, counters
+        )
+        configuration_follower = ConfigurationFollower(context)
+        configuration_follower.load()
         limits = context.holder.current.configuration.limits
         drain_seconds = limits.drain_ms / 1000
-        teller = CrashTeller(context, port)
+        crash_reporter = CrashReporter(context, datagram_port)
         tasks = [
-            AnnouncementFollower(context, port, teller).run,
-            teller.run,
-            follower.run,
+            AnnouncementFollower(context, datagram_port, crash_reporter).run,
+            crash_reporter.run,
+            configuration_follower.run,
             context.janitor.run,
             backend.watch_forever,
-            partial(tick_forever, context.standstill),
+            partial(tick_forever, context.stall_detector),
         ]
         if len(settings.entries) <= SMALL_SITE:
-            # One busy engine gives some 4 KB of cache events a second.  A daemon of a large
-            # fleet cannot afford to follow them and goes by its own dispatches alone.
+            # A busy engine produces about 4 KB of cache events a second.  Polling them is too
+            # expensive in a large fleet, where the daemon relies on its own dispatches alone.
             tasks.append(CacheFollower(context).run)
         for task in tasks:
             nursery.start_soon(task)
-        nursery.start_soon(forget_forever, context)
+        nursery.start_soon(prune_forever, context)
         async with trio.open_nursery() as servers:
-            for app, listen in (
-                (internal_app(context), me.internal_port),
-                (public_app(context), me.port),
+            for app, listen_port in (
+                (internal_app(context), vm.internal_port),
+                (public_app(context), vm.port),
             ):
-                if listen == me.port:
-                    await _hear_announcements(settings)
-                server = HttpServer(app, me.host, listen, drain_seconds)
+                if listen_port == vm.port:
+                    await _wait_for_announcements(settings)
+                server = HttpServer(app, vm.host, listen_port, drain_seconds)
                 await servers.start(serve, server, shutdown)
-            logger.info("entry {} serves on {}:{}", name, me.host, me.port)
+            logger.info("entry {} serves on {}:{}", name, vm.host, vm.port)
             await _until_drained(context, drain_seconds)
             shutdown.set()
         await _until_idle(context)
         nursery.cancel_scope.cancel()
 
 
-async def _hear_announcements(settings: Settings) -> None:
+async def _wait_for_announcements(settings: Settings) -> None:
     """Wait until the backend servers have had time to announce themselves.
 
-    A VM that took callers at once after its start would refuse them, since it knows no server
-    yet; the balancer sends them to the others while the port is closed.
+    A VM that opened its port right after the start would refuse requests because it knows no
+    server yet.  The load balancer uses the other VMs while the port is closed.
     """
     await trio.sleep(settings.announcement_lease_ms / 1000 * WARM_UP_LEASES)
 
 
 async def _until_drained(context: EntryContext, drain_seconds: float) -> None:
-    """Wait for SIGTERM or an operator's drain, then for open requests to end.
+    """Wait for SIGTERM or a drain by an operator, then for open requests to end.
 
-    New requests meanwhile get a refusal that says "not run"; the pause lets the balancer
-    notice before the port closes.
+    New requests are meanwhile refused as "not run"; the pause lets the load balancer notice the
+    drain before the port closes.
     """
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_drain_on_signal, context)
         await context.drain_begun.wait()
-        logger.info("entry {} drains, {} requests open", context.me.name, context.open_requests)
-        await trio.sleep(REFUSING_SECONDS)
+        logger.info("entry {} drains, {} requests open", context.vm.name, context.open_requests)
+        await trio.sleep(DRAIN_NOTICE_SECONDS)
         with trio.move_on_after(drain_seconds):
             await context.drained.wait()
         nursery.cancel_scope.cancel()
@@ -171,7 +172,7 @@
 
 
 async def _until_idle(context: EntryContext) -> None:
-    """Give the janitor's chores a little time; leases cover those that stay."""
-    with trio.move_on_after(CHORES_SECONDS):
+    """Wait briefly for the tasks of the janitor; leases cover those that remain."""
+    with trio.move_on_after(CLEANUP_SECONDS):
         while not context.janitor.idle:
             await trio.sleep(0.05)
--- a/siskinspoke/entry/followers.py
+++ b/siskinspoke/entry/followers.py
@@ -1,4 +1,4 @@
-"""Tasks that keep an entry VM up to date: announcements, configuration, cache events."""
+"""Tasks that receive announcements, configuration and cache events at an entry VM."""
 
 from collections import OrderedDict
 from pathlib import Path
@@ -11,7 +11,7 @@
 from siskinspoke.coordination.directory import Heard, ServerRecord
 from siskinspoke.coordination.watchers import watchers
 from siskinspoke.entry.context import EntryContext, now_ms, target_of
-from siskinspoke.entry.crashes import CrashTeller
+from siskinspoke.entry.crashes import CrashReporter
 from siskinspoke.protocol.announcements import (
     Announcement,
     Load,
@@ -26,141 +26,144 @@
 
 CONFIGURATION_FILE = "configuration.json"
 CONFIGURATION_WAIT_MS = 1_200
-PAUSE_SECONDS = 0.2
-FORGET_SECONDS = 5.0
-CACHE_POLL_SECONDS = 1.0
-WHOLE_AT_FIRST = 3
-MAX_WHOLE = 512
-ASK_MS = 1_000.0
+RETRY_PAUSE_SECONDS = 0.2
+PRUNE_INTERVAL_SECONDS = 5.0
+CACHE_POLL_INTERVAL_SECONDS = 1.0
+FULL_ANNOUNCEMENTS_AT_START = 3
+MAX_CACHED_ANNOUNCEMENTS = 512
+WANT_INTERVAL_MS = 1_000.0
 
 
 class AnnouncementFollower:
-    """Hear announcements, and spread those that come from the servers themselves.
+    """Receive announcements and forward those that come directly from servers.
 
-    A server's datagram reaches one entry VM, through the balancer; that VM passes it on to
-    the server's watchers and to nobody else, so that a large fleet costs each VM a bounded
-    number of datagrams.  Only what changes is passed on; a watcher that lacks the rest, as
-    after its start, asks for it.
+    The load balancer sends the datagram of a server to one entry VM, which forwards it only to
+    the watchers of the server, so that each VM of a large fleet handles a bounded number of
+    datagrams.  Forwarded datagrams contain only the changing fields; a watcher that lacks the
+    full announcement, for example after its start, requests it.
     """
 
-    def __init__(self, context: EntryContext, port: DatagramPort, crashes: CrashTeller):
+    def __init__(self, context: EntryContext, port: DatagramPort, crashes: CrashReporter):
         self._context = context
         self._port = port
         self._crashes = crashes
         self._entries = context.settings.entries
-        self._place = self._entries.index(context.me)
-        self._whole: OrderedDict[int, Announcement] = OrderedDict()
-        self._asked: dict[int, float] = {}
+        self._own_index = self._entries.index(context.vm)
+        self._announcements: OrderedDict[int, Announcement] = OrderedDict()
+        self._requested_at: dict[int, float] = {}
 
     async def run(self) -> None:
-        """Handle datagrams forever."""
+        """Receive and handle datagrams forever."""
         await self._port.receive_forever(self._handle)
 
     async def _handle(self, item) -> None:
         match item:
             case Announcement():
-                await self._spread(item)
+                await self._forward_to_watchers(item)
             case Spread(announcement=announcement):
-                self._hear(announcement)
+                self._apply(announcement)
             case Load():
-                await self._hear_load(item)
-            case Want(key=key, sender=sender) if key in self._whole:
-                await self._send(Spread(self._whole[key]), sender)
+                await self._apply_load(item)
+            case Want(key=key, sender=sender) if key in self._announcements:
+                await self._send(Spread(self._announcements[key]), sender)
             case Want():
                 self._context.counters.count("announcement.wanted_unknown")
             case CrashSpread():
-                await self._crashes.hear(item)
+                await self._crashes.receive(item)
             case CrashWant():
-                await self._crashes.answer(item)
+                await self._crashes.handle_want(item)
             case _:
                 self._context.counters.count("datagram.refused.kind")
 
-    async def _send(self, item, place: int) -> None:
-        if 0 <= place < len(self._entries):
-            entry = self._entries[place]
+    async def _send(self, item, index: int) -> None:
+        if 0 <= index < len(self._entries):
+            entry = self._entries[index]
             await self._port.send(item, entry.host, entry.internal_port)
 
-    async def _spread(self, announcement: Announcement) -> None:
-        self._remember(announcement)
-        whole = announcement.leaving or announcement.seq <= WHOLE_AT_FIRST
-        item = Spread(announcement) if whole else load_of(announcement, self._place)
-        chosen = watchers(announcement.server, announcement.failure_domain, self._entries)
-        for entry in chosen:
-            if entry.name == self._context.me.name:
-                self._hear(announcement)
+    async def _forward_to_watchers(self, announcement: Announcement) -> None:
+        self._cache(announcement)
+        send_full = announcement.leaving or announcement.seq <= FULL_ANNOUNCEMENTS_AT_START
+        item = Spread(announcement) if send_full else load_of(announcement, self._own_index)
+        watching = watchers(announcement.server, announcement.failure_domain, self._entries)
+        for entry in watching:
+            if entry.name == self._context.vm.name:
+                self._apply(announcement)
             else:
                 await self._port.send(item, entry.host, entry.internal_port)
 
-    def _remember(self, announcement: Announcement) -> None:
-        """Keep what a watcher may ask for."""
+    def _cache(self, announcement: Announcement) -> None:
+        """Keep the full announcement for watchers that request it."""
         key = server_key(announcement.server)
-        self._whole[key] = announcement
-        self._whole.move_to_end(key)
-        if len(self._whole) > MAX_WHOLE:
-            self._whole.popitem(last=False)
+        self._announcements[key] = announcement
+        self._announcements.move_to_end(key)
+        if len(self._announcements) > MAX_CACHED_ANNOUNCEMENTS:
+            self._announcements.popitem(last=False)
 
-    async def _hear_load(self, load: Load) -> None:
-        """Take in a load; ask, at most once a second, for a server that is not known."""
+    async def _apply_load(self, load: Load) -> None:
+        """Apply a load report; at most once a second, request the announcement if it is unknown."""
         now = now_ms()
         directory = self._context.directory
-        known = directory.latest(directory.name_of(load.key))
-        heard = directory.hear_load(load, now)
-        self._note_end(known, load.incarnation)
-        self._note(heard, directory.name_of(load.key), load.incarnation)
-        if heard is Heard.UNKNOWN and now - self._asked.get(load.key, 0.0) > ASK_MS:
-            self._asked[load.key] = now
-            await self._send(Want(load.key, self._place), load.sender)
-
-    def _hear(self, announcement: Announcement) -> None:
-        known = self._context.directory.latest(announcement.server)
-        heard = self._context.directory.hear(announcement, now_ms())
-        self._note_end(known, announcement.incarnation)
-        self._note(heard, announcement.server, announcement.incarnation)
-
-    def _note_end(self, known: ServerRecord | None, incarnation: int) -> None:
-        """Take in that a server has started again without having left: it crashed before."""
-        if known is None or known.announcement.leaving:
+        previous = directory.latest(directory.name_of(load.key))
+        effect = directory.hear_load(load, now)
+        self._check_for_restart(previous, load.incarnation)
+        self._record_effect(effect, directory.name_of(load.key), load.incarnation)
+        if (
+            effect is Heard.UNKNOWN
+            and now - self._requested_at.get(load.key, 0.0) > WANT_INTERVAL_MS
+        ):
+            self._requested_at[load.key] = now
+            await self._send(Want(load.key, self._own_index), load.sender)
+
+    def _apply(self, announcement: Announcement) -> None:
+        previous = self._context.directory.latest(announcement.server)
+        effect = self._context.directory.hear(announcement, now_ms())
+        self._check_for_restart(previous, announcement.incarnation)
+        self._record_effect(effect, announcement.server, announcement.incarnation)
+
+    def _check_for_restart(self, previous: ServerRecord | None, incarnation: int) -> None:
+        """Record a crash if a server restarted without having announced that it leaves."""
+        if previous is None or previous.announcement.leaving:
             return
-        if known.announcement.incarnation < incarnation:
-            self._context.crashed(target_of(known))
+        if previous.announcement.incarnation < incarnation:
+            self._context.record_crash(target_of(previous))
 
-    def _note(self, heard: Heard, server: str, incarnation: int) -> None:
-        """Count what was heard; log a server that comes or goes."""
+    def _record_effect(self, effect: Heard, server: str, incarnation: int) -> None:
+        """Count the effect of an announcement; log servers that join or leave."""
         context = self._context
-        context.counters.count(f"announcement.{heard.value}")
-        if heard in (Heard.JOINED, Heard.LEFT):
-            logger.info("server {}: {} incarnation {}", heard.value, server, incarnation)
-        if heard is Heard.JOINED:
+        context.counters.count(f"announcement.{effect.value}")
+        if effect in (Heard.JOINED, Heard.LEFT):
+            logger.info("server {}: {} incarnation {}", effect.value, server, incarnation)
+        if effect is Heard.JOINED:
             context.router.prefixes.reset(server)
-        known = [record.announcement.server for record in context.directory.all_known()]
-        context.router.back_offs.forget(known, now_ms())
+        known_servers = [record.announcement.server for record in context.directory.all_known()]
+        context.router.back_offs.forget(known_servers, now_ms())
 
 
-async def forget_forever(context: EntryContext) -> None:
-    """Drop records of servers that are long gone."""
+async def prune_forever(context: EntryContext) -> None:
+    """Periodically drop the records of servers that are long gone."""
     while True:
-        await trio.sleep(FORGET_SECONDS)
+        await trio.sleep(PRUNE_INTERVAL_SECONDS)
         for server in context.directory.forget(now_ms()):
             context.router.prefixes.reset(server)
         context.counters.gauge("servers", len(context.directory.live(now_ms())))
 
 
 class ConfigurationFollower:
-    """Follow the accepted configuration and keep a copy on disk, where there is one."""
+    """Follow the accepted configuration; keep a copy on disk if the VM has a data folder."""
 
     def __init__(self, context: EntryContext):
         self._context = context
-        folder = context.me.data_folder
+        folder = context.vm.data_folder
         self._file = Path(folder) / CONFIGURATION_FILE if folder else None
 
     def load(self) -> None:
-        """Start from the copy on disk, which is never older than what was in force before."""
+        """Load the copy on disk, which is at least as new as the configuration last in force."""
         if self._file is None:
             return
         self._file.parent.mkdir(parents=True, exist_ok=True)
         read = read_checked(self._file)
         if read.is_error():
-            logger.warning("configuration copy refused: {}", read.error.message)
+            logger.warning("ignored the configuration copy on disk: {}", read.error.message)
             return
         if read.ok is not None:
             version, document = msgspec.json.decode(read.ok, type=tuple[int, dict])
@@ -168,22 +171,22 @@
             self._context.apply_limits()
 
     async def run(self) -> None:
-        """Ask the control replicas, one after the other, for what is newer."""
+        """Poll the control replicas in turn for a newer configuration."""
         while True:
             current = self._context.holder.current
-            news = await self._context.control.configuration_after(
+            update = await self._context.control.configuration_after(
                 current.version, CONFIGURATION_WAIT_MS
             )
-            if news is None:
-                await trio.sleep(PAUSE_SECONDS)
+            if update is None:
+                await trio.sleep(RETRY_PAUSE_SECONDS)
                 continue
-            document = news.applied_to(current.document)
+            document = update.applied_to(current.document)
             if document is not None:
-                await self._install(news.version, document)
-            elif news.version < current.version:
-                # The replica lags behind what is in force here: ask another one soon.
+                await self._install(update.version, document)
+            elif update.version < current.version:
+                # The replica lags behind this VM: query another one after a short pause.
                 self._context.counters.count("configuration.replica_lags")
-                await trio.sleep(PAUSE_SECONDS)
+                await trio.sleep(RETRY_PAUSE_SECONDS)
 
     async def _install(self, version: int, document: dict) -> None:
         context = self._context
@@ -194,35 +197,35 @@
         context.counters.gauge("configuration_version", version)
         logger.info("configuration in force: version {}", version)
         if self._file is not None:
-            body = msgspec.json.encode((version, document))
-            await trio.to_thread.run_sync(write_atomically, self._file, body)
+            content = msgspec.json.encode((version, document))
+            await trio.to_thread.run_sync(write_atomically, self._file, content)
 
 
 class CacheFollower:
-    """Follow cache events of one server a second, in turn, as a routing hint."""
+    """Poll the cache events of one server a second, in turn, as a routing hint."""
 
     def __init__(self, context: EntryContext):
         self._context = context
-        self._seen: dict[str, tuple[int, int]] = {}
-        self._turn = 0
+        self._last_seen: dict[str, tuple[int, int]] = {}
+        self._poll_count = 0
 
     async def run(self) -> None:
-        """Poll forever."""
+        """Poll servers forever."""
         while True:
-            await trio.sleep(CACHE_POLL_SECONDS)
+            await trio.sleep(CACHE_POLL_INTERVAL_SECONDS)
             records = [
                 record
                 for record in self._context.directory.live(now_ms())
                 if record.announcement.kind == "model"
             ]
             if records:
-                self._turn += 1
-                await self._poll(records[self._turn % len(records)])
+                self._poll_count += 1
+                await self._poll(records[self._poll_count % len(records)])
 
     async def _poll(self, record) -> None:
-        """Take in the events since the last poll; a gap means that nothing is known."""
+        """Apply the events since the last poll; a gap clears what is known of the server."""
         context, target = self._context, target_of(record)
-        incarnation, after = self._seen.get(target.server, (target.incarnation, 0))
+        incarnation, after = self._last_seen.get(target.server, (target.incarnation, 0))
         if incarnation != target.incarnation:
             after = 0
         answer = await context.backend.cache_events(target, after)
@@ -238,4 +241,4 @@
                 context.router.prefixes.stored(target.server, [block])
             else:
                 context.router.prefixes.removed(target.server, [block])
-        self._seen[target.server] = (target.incarnation, after)
+        self._last_seen[target.server] = (target.incarnation, after)
--- a/siskinspoke/entry/groups.py
+++ b/siskinspoke/entry/groups.py
@@ -1,8 +1,8 @@
-"""Serve a prompt larger than one engine's memory over several engines, all or nothing.
+"""Groups of engines that together serve a prompt larger than the memory of one engine.
 
-Members are reserved in one total order, by server name, and each reservation has a lease.
-Two long prompts can therefore never hold half each and wait for the other: the one that is
-refused gives back what it holds, pauses for a random time and begins again.
+Members are reserved all or none, ordered by server name, and each reservation has a lease.
+This prevents a deadlock of two long prompts that each hold half of the engines: a refused
+reservation releases its members, pauses for a random time and starts again.
 """
 
 import math
@@ -19,18 +19,18 @@
 
 LEASE_MS = 4_000
 RENEWALS_PER_LEASE = 4
-PAUSE_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 
 
 class Member(NamedTuple):
-    """One engine of a group and the tokens it holds."""
+    """One engine of a group and the number of prompt tokens it holds."""
 
     target: Target
     tokens: int
 
 
 class Group(NamedTuple):
-    """A reserved group; the head decodes, the others hold their part of the prompt."""
+    """A group of engines; the head decodes, the helpers hold parts of the prompt."""
 
     reservation: str
     members: tuple[Member, ...]
@@ -42,69 +42,69 @@
 
     @property
     def helpers(self) -> tuple[Member, ...]:
-        """Return the members that only hold a part of the prompt."""
+        """Return the members that hold a part of the prompt and do not decode."""
         return self.members[1:]
 
 
-def group_of(choice: Choice, reservation: str) -> Group:
-    """Return the group that a routing choice describes."""
+def make_group(choice: Choice, reservation: str) -> Group:
+    """Return the group for a routing choice."""
     pairs = zip(choice.servers, choice.shares, strict=True)
     return Group(reservation, tuple(Member(target_of(record), share) for record, share in pairs))
 
 
-def _body(group: Group, member: Member, owner: str) -> ReserveRequest:
+def _reserve_request(group: Group, member: Member, owner: str) -> ReserveRequest:
     return ReserveRequest(
         reservation=group.reservation, owner=owner, tokens=member.tokens, lease_ms=LEASE_MS
     )
 
 
-async def _reserve(context: EntryContext, group: Group) -> bool:
-    """Reserve every member in the order of server names, or none."""
-    asked: list[Target] = []
-    whole = False
+async def _reserve_all(context: EntryContext, group: Group) -> bool:
+    """Reserve all members in the order of server names, or none."""
+    requested: list[Target] = []
+    complete = False
     try:
         for member in sorted(group.members, key=lambda item: item.target.server):
-            asked.append(member.target)
-            body = _body(group, member, context.me.name)
+            requested.append(member.target)
+            body = _reserve_request(group, member, context.vm.name)
             if await context.backend.post(member.target, "/v1/reserve", body) is None:
                 return False
-        whole = True
+        complete = True
     finally:
-        # Also when the deadline or the caller ends the try in its middle, and also at the member
-        # that refused: its grant may only have been lost on the way.
-        if not whole:
-            release(context, group.reservation, asked)
+        # Also runs when the deadline or the caller cancels the reservation.  Includes the member
+        # without a valid answer, which may have granted memory in an answer that was lost.
+        if not complete:
+            release_later(context, group.reservation, requested)
     return True
 
 
-def release(context: EntryContext, reservation: str, targets: list[Target]) -> None:
-    """Give the memory of a reservation back, through the janitor."""
+def release_later(context: EntryContext, reservation: str, targets: list[Target]) -> None:
+    """Release the memory of a reservation through the janitor."""
     for target in targets:
-        context.janitor.add(ReleaseMemory(target, reservation, context.me.name))
+        context.janitor.add(ReleaseMemory(target, reservation, context.vm.name))
 
 
-async def renew_forever(context: EntryContext, reservation: str, targets: list[Target]) -> None:
-    """Renew the leases of a reservation for as long as its answer is read."""
+async def _renew_forever(context: EntryContext, reservation: str, targets: list[Target]) -> None:
+    """Renew the leases of a reservation until cancelled."""
     while True:
         await trio.sleep(LEASE_MS / 1000 / RENEWALS_PER_LEASE)
         for target in targets:
             body = ReserveRequest(
-                reservation=reservation, owner=context.me.name, tokens=0, lease_ms=LEASE_MS
+                reservation=reservation, owner=context.vm.name, tokens=0, lease_ms=LEASE_MS
             )
             await context.backend.post(target, "/v1/renew", body)
 
 
 @contextmanager
-def renewed(context: EntryContext, reservation: str, targets: list[Target]):
-    """Renew leases in a task of the daemon for as long as the context is open.
+def renewing_leases(context: EntryContext, reservation: str, targets: list[Target]):
+    """Renew leases in a task of the daemon while the context is open.
 
-    A nursery here would wrap what the reader of the answer raises in a group.
+    A nursery here would wrap exceptions of the reader in an exception group.
     """
     scope = trio.CancelScope()
 
     async def renew() -> None:
         with scope:
-            await renew_forever(context, reservation, targets)
+            await _renew_forever(context, reservation, targets)
 
     context.nursery.start_soon(renew)
     try:
@@ -114,41 +114,41 @@
 
 
 @asynccontextmanager
-async def reserved(context: EntryContext, choose):
-    """Hold a whole group; wait for memory within the deadline of the surrounding scope.
+async def reserve_group(context: EntryContext, choose):
+    """Reserve a complete group, retrying until the deadline of the surrounding scope.
 
-    ``choose`` returns a fresh routing choice, or None when routing refuses; then None is
-    yielded.  Each try has a name of its own: resends of one request at two VMs must not
-    release each other's memory.
+    ``choose`` returns a new routing choice, or None if routing refuses the request; None is then
+    yielded.  Each try has its own reservation name, so that resends of one request at two VMs do
+    not release each other's memory.
     """
     while True:
         choice = choose()
         if choice is None:
             yield None
             return
-        group = group_of(choice, context.next_request_id())
-        if await _reserve(context, group):
+        group = make_group(choice, context.next_request_id())
+        if await _reserve_all(context, group):
             break
         context.counters.count("group.reserve_refused")
-        await trio.sleep(PAUSE_SECONDS * context.rng.uniform(0.5, 1.5))
+        await trio.sleep(RETRY_PAUSE_SECONDS * context.rng.uniform(0.5, 1.5))
     targets = [member.target for member in group.members]
     try:
-        with renewed(context, group.reservation, targets):
+        with renewing_leases(context, group.reservation, targets):
             yield group
     finally:
-        release(context, group.reservation, targets)
+        release_later(context, group.reservation, targets)
 
 
 async def prefill_helpers(context: EntryContext, group: Group) -> bool:
-    """Let every helper compute its part of the prompt; False if one could not."""
-    done: list[bool] = []
+    """Prefill the part of the prompt of every helper; return whether all succeeded."""
+    results: list[bool] = []
 
-    async def one(member: Member) -> None:
-        body = _body(group, member, context.me.name)
+    async def prefill(member: Member) -> None:
+        body = _reserve_request(group, member, context.vm.name)
         answer = await context.backend.post(member.target, "/v1/prefill", body, math.inf)
-        done.append(answer is not None)
+        results.append(answer is not None)
 
     async with trio.open_nursery() as nursery:
         for member in group.helpers:
-            nursery.start_soon(one, member)
-    return all(done)
+            nursery.start_soon(prefill, member)
+    return all(results)
--- a/siskinspoke/entry/internal_app.py
+++ b/siskinspoke/entry/internal_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of operators at an entry VM, apart from callers' port."""
+"""The HTTP interface for operators, on a separate port of an entry VM."""
 
 import hmac
 
@@ -13,14 +13,14 @@
 
 
 def operator_allowed(header: str | None, operator_key: str) -> bool:
-    """Tell whether an Authorization header carries the operators' key."""
+    """Return whether an Authorization header carries the operator key."""
     return header is not None and hmac.compare_digest(
         header.encode(), f"Bearer {operator_key}".encode()
     )
 
 
 def internal_app(context: EntryContext):
-    """Return the application that operators speak to."""
+    """Return the application for operators."""
     app = make_app("entry-internal", MAX_BODY_BYTES, BODY_SECONDS)
 
     @app.before_request
@@ -44,7 +44,7 @@
 
 
 def entry_status(context: EntryContext) -> dict:
-    """Return what this VM believes."""
+    """Return the status document of this VM."""
     now = now_ms()
     current = context.holder.current
     servers = [
@@ -63,8 +63,8 @@
         for record in context.directory.live(now)
     ]
     return {
-        "name": context.me.name,
-        "failure_domain": context.me.failure_domain,
+        "name": context.vm.name,
+        "failure_domain": context.vm.failure_domain,
         "incarnation": context.incarnation,
         "configuration_version": current.version,
         "configuration_source": current.source,
--- a/siskinspoke/entry/public_app.py
+++ b/siskinspoke/entry/public_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of callers."""
+"""The HTTP interface for callers."""
 
 import hashlib
 
@@ -9,7 +9,7 @@
 from siskinspoke.core.codes import Failure, ResultCode, Run
 from siskinspoke.entry.answers import answer_job
 from siskinspoke.entry.calls import CallJob
-from siskinspoke.entry.claiming import claim_name, honest
+from siskinspoke.entry.claiming import claim_name, verify_not_run
 from siskinspoke.entry.completions import CompletionJob
 from siskinspoke.entry.context import EntryContext
 from siskinspoke.entry.requests import (
@@ -26,24 +26,24 @@
 from siskinspoke.transport.http import failure_response, json_response, make_app
 
 DRAIN_RETRY_MS = 500
-FULL_RETRY_MS = 1_000
+TOO_MANY_STREAMS_RETRY_MS = 1_000
 
 
 def _keyed_request_id(name: str) -> str:
-    """Return the id that every resend of a keyed request shares."""
+    """Return the request id shared by all resends of a request with an idempotency key."""
     return "k" + hashlib.blake2b(name.encode(), digest_size=12).hexdigest()
 
 
 def public_app(context: EntryContext):
-    """Return the application that callers speak to."""
+    """Return the application for callers."""
     limits = context.holder.current.configuration.limits
     app = make_app("entry", limits.max_body_bytes, limits.body_timeout_ms / 1000)
 
-    def take_limits(changed: Limits) -> None:
+    def apply_limits(changed: Limits) -> None:
         app.config["MAX_CONTENT_LENGTH"] = changed.max_body_bytes
         app.config["BODY_TIMEOUT"] = changed.body_timeout_ms / 1000
 
-    context.on_limits.append(take_limits)
+    context.limit_listeners.append(apply_limits)
 
     def refuse(failure: Failure) -> Response:
         return failure_response(context.refuse(failure))
@@ -51,22 +51,26 @@
     async def refuse_request(
         failure: Failure, caller: Caller, key: IdempotencyKey | None
     ) -> Response:
-        """Refuse a sound request; one with a key may be a resend of one that ran."""
+        """Refuse a valid request; one with a key may be the resend of a request that ran."""
         if key is not None:
-            failure = await honest(context, claim_name(caller.customer, key), failure)
+            failure = await verify_not_run(context, claim_name(caller.customer, key), failure)
         return refuse(failure)
 
-    def closed() -> Failure | None:
-        """Return why this VM takes no new request at all, if so."""
+    def unavailable() -> Failure | None:
+        """Return the failure for all new requests while this VM is draining or full, or None."""
         if context.draining:
-            message = "this VM is shutting down; ask again through the balancer"
+            message = "this VM is shutting down; retry through the load balancer"
             return Failure(ResultCode.DRAINING, message, DRAIN_RETRY_MS)
         current = context.holder.current.configuration.limits
         if context.open_requests >= current.max_streams:
-            return Failure(ResultCode.TOO_MANY_STREAMS, "this VM is full", FULL_RETRY_MS)
+            return Failure(
+                ResultCode.TOO_MANY_STREAMS,
+                "this VM has reached its limit of open requests",
+                TOO_MANY_STREAMS_RETRY_MS,
+            )
         return None
 
-    def caller_of() -> Caller | Failure:
+    def authenticate_caller() -> Caller | Failure:
         found = authenticate(
             request.headers.get("Authorization"), context.holder.current.configuration
         )
@@ -74,9 +78,9 @@
 
     @app.after_request
     async def close_when_draining(response: Response) -> Response:
-        """Let no connection be used again while draining.
+        """Close keep-alive connections while draining.
 
-        A busy caller would otherwise keep its connection, and with it this VM, alive forever.
+        A busy caller would otherwise keep its connection, and so this VM, open forever.
         """
         if context.draining:
             response.headers["Connection"] = "close"
@@ -84,8 +88,8 @@
 
     @app.post("/v1/completions")
     async def completions() -> Response:
-        arrived = context.standstill.arrival(trio.current_time())
-        caller = caller_of()
+        arrived_at = context.stall_detector.arrival(trio.current_time())
+        caller = authenticate_caller()
         if isinstance(caller, Failure):
             return refuse(caller)
         read = read_completion_body(
@@ -95,17 +99,19 @@
         )
         if read.is_error():
             return refuse(read.error)
-        failure = closed()
+        failure = unavailable()
         if failure is not None:
             return await refuse_request(failure, caller, read.ok.key)
-        return await answer_completion(caller, read.ok, arrived)
+        return await answer_completion(caller, read.ok, arrived_at)
 
-    async def answer_completion(caller: Caller, completion: Completion, arrived: float) -> Response:
+    async def answer_completion(
+        caller: Caller, completion: Completion, arrived_at: float
+    ) -> Response:
         if completion.key is not None:
             request_id = _keyed_request_id(claim_name(caller.customer, completion.key))
         else:
             request_id = context.next_request_id()
-        deadline = arrived + completion.timeout_ms / 1000
+        deadline = arrived_at + completion.timeout_ms / 1000
         job = CompletionJob(context, caller, completion, request_id, deadline)
         admitted = job.admit()
         if admitted.is_error():
@@ -116,7 +122,7 @@
 
     @app.post("/v1/streams/resume")
     async def resume() -> Response:
-        caller = caller_of()
+        caller = authenticate_caller()
         if isinstance(caller, Failure):
             return refuse(caller)
         document = await request.get_json(force=True, silent=True)
@@ -129,7 +135,7 @@
         token = read_token(text, caller.customer, context.settings.internal_key)
         if token.is_error():
             return refuse(token.error)
-        failure = closed()
+        failure = unavailable()
         if failure is not None:
             return refuse(failure._replace(run=Run.UNKNOWN))
         job = ResumeJob(context, token.ok, offset)
@@ -138,8 +144,8 @@
 
     @app.post("/v1/services/<service>")
     async def services(service: str) -> Response:
-        arrived = context.standstill.arrival(trio.current_time())
-        caller = caller_of()
+        arrived_at = context.stall_detector.arrival(trio.current_time())
+        caller = authenticate_caller()
         if isinstance(caller, Failure):
             return refuse(caller)
         read = read_call(
@@ -150,21 +156,21 @@
         )
         if read.is_error():
             return refuse(read.error)
-        failure = closed()
+        failure = unavailable()
         if failure is not None:
             return await refuse_request(failure, caller, read.ok.key)
         context.request_opened()
         try:
-            return await answer_call(caller, read.ok, arrived)
+            return await answer_call(caller, read.ok, arrived_at)
         finally:
             context.request_closed()
 
-    async def answer_call(caller: Caller, call: Call, arrived: float) -> Response:
+    async def answer_call(caller: Caller, call: Call, arrived_at: float) -> Response:
         if call.key is not None:
             request_id = _keyed_request_id(claim_name(caller.customer, call.key))
         else:
             request_id = context.next_request_id()
-        answer = await CallJob(context, caller, call, request_id, arrived).run()
+        answer = await CallJob(context, caller, call, request_id, arrived_at).run()
         if isinstance(answer, Failure):
             not_run = answer.fate is Run.NOT_RUN
             context.counters.count(
@@ -175,7 +181,7 @@
 
     @app.get("/healthz")
     async def healthz() -> Response:
-        failure = closed()
+        failure = unavailable()
         if failure is not None:
             return failure_response(failure)
         return json_response({"ok": True})
--- a/siskinspoke/entry/resuming.py
+++ b/siskinspoke/entry/resuming.py
@@ -1,4 +1,4 @@
-"""Read on in an answer at another entry VM, after the first one died."""
+"""Resume a stream at another entry VM after the first one died."""
 
 import trio
 from loguru import logger
@@ -14,7 +14,7 @@
 
 
 class ResumeJob:
-    """One resumed stream; the backend server still runs the attempt."""
+    """Run a resumed stream whose attempt the backend server still runs."""
 
     def __init__(self, context: EntryContext, token: StreamToken, offset: int):
         limits = context.holder.current.configuration.limits
@@ -25,16 +25,16 @@
         self.tokens = offset
         self.scope = trio.CancelScope(deadline=trio.current_time() + limits.max_timeout_ms / 1000)
         self._context = context
-        self._reader_seconds = limits.reader_timeout_ms / 1000
+        self._reader_timeout_seconds = limits.reader_timeout_ms / 1000
         self._send, self.outbox = trio.open_memory_channel[list[Piece]](OUTBOX_BATCHES)
 
-    def hang_up(self) -> None:
-        """Note that the caller is gone; the attempt's lease frees the engine."""
+    def caller_disconnected(self) -> None:
+        """Stop reading for a disconnected caller; the lease of the attempt frees the engine."""
         self.outbox.close()
         self.scope.cancel()
 
     async def run(self) -> None:
-        """Read the attempt from the offset on to its end."""
+        """Read the attempt from the offset to its end."""
         ended = False
         self._context.request_opened()
         try:
@@ -42,23 +42,27 @@
                 self.failure = await self._read()
                 ended = True
         except (trio.BrokenResourceError, trio.TooSlowError):
-            self.failure = Failure(ResultCode.SLOW_READER, "the caller read too slowly")
+            self.failure = Failure(
+                ResultCode.SLOW_READER, "the caller did not read the answer in time"
+            )
         except Exception as error:
-            # As for completions: one request must not end the VM.
+            # An uncaught exception would cancel all other requests of the VM.
             logger.error("resumed stream {} failed: {!r}", self.request_id, error)
-            self.failure = Failure(ResultCode.INTERNAL, "a fault of this VM")
+            self.failure = Failure(ResultCode.INTERNAL, "internal error of this VM")
         finally:
             if not ended and self.failure is None:
-                self.failure = Failure(ResultCode.CALLER_GONE, "the stream was cut")
+                self.failure = Failure(ResultCode.CALLER_GONE, "the stream was interrupted")
             self._send.close()
             self._context.request_closed()
 
     async def _read(self) -> Failure | None:
-        """Read the stream; keep a group's memory, whose first owner may be dead."""
+        """Read the stream; renew the leases of a group, whose first owner may be dead."""
         token = self.token
         if not token.reservation:
             return await self._stream()
-        with groups.renewed(self._context, token.reservation, [token.target, *token.helpers]):
+        with groups.renewing_leases(
+            self._context, token.reservation, [token.target, *token.helpers]
+        ):
             return await self._stream()
 
     async def _stream(self) -> Failure | None:
@@ -78,11 +82,11 @@
             case Completed():
                 return None
             case NotBegun() | Unknown():
-                return Failure(ResultCode.UNKNOWN_STREAM, "the stream is over or was lost")
+                return Failure(ResultCode.UNKNOWN_STREAM, "the stream has ended or was lost")
             case Lost(reason=reason):
                 return Failure(ResultCode.ENGINE_LOST, reason)
 
     async def _deliver(self, pieces: list[Piece]) -> None:
         self.tokens = pieces[-1].offset + pieces[-1].tokens
-        with trio.fail_after(self._reader_seconds):
+        with trio.fail_after(self._reader_timeout_seconds):
             await self._send.send(pieces)
--- a/tests/entry/test_back_off.py
+++ b/tests/entry/test_back_off.py
@@ -1,4 +1,4 @@
-"""Servers of the product's own interface that ask for a back-off."""
+"""Back-offs requested by backend servers of the product's own interface."""
 
 import random
 
@@ -18,8 +18,8 @@
 ANSWER = b"HTTP/1.1 %d No\r\nRetry-After: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
-async def asked(status: int, retry_after: bytes, path: str, servers: int = 1):
-    """Send an attempt to a server that answers so; return what the router then chooses."""
+async def choose_after_rejection(status: int, retry_after: bytes, path: str, servers: int = 1):
+    """Send an attempt to a server that rejects it; return the server and the next choice."""
 
     async def serve(stream: trio.SocketStream) -> None:
         async with stream:
@@ -50,21 +50,21 @@
 
 
 class TestBackOff:
-    """A server that asks for a back-off gets nothing from this VM until it is over."""
+    """A server that asks for a back-off gets no requests from this VM until it ends."""
 
     @pytest.mark.parametrize("path", ["/v1/generate", "/v1/call"])
     @pytest.mark.parametrize("status", [429, 503])
-    def test_goes_elsewhere(self, status, path):
-        """The next request went to the server that had asked for 3 s of rest."""
-        server, chosen = trio.run(asked, status, b"3", path, 2)
+    def test_other_server_is_chosen(self, status, path):
+        """Guards against sending the next request to a server that asked for a 3 s back-off."""
+        server, chosen = trio.run(choose_after_rejection, status, b"3", path, 2)
         assert chosen.ok.servers[0].announcement.server != server
 
-    def test_all_servers_rest(self):
-        """A refusal said to come back after half a second, while all servers rested for 3 s."""
-        _, chosen = trio.run(asked, 503, b"3", "/v1/call")
+    def test_all_servers_back_off(self):
+        """Guards against a refusal with a retry after 0.5 s while all servers back off for 3 s."""
+        _, chosen = trio.run(choose_after_rejection, 503, b"3", "/v1/call")
         assert 2_500 <= chosen.error.retry_after_ms <= 5_000
 
     @pytest.mark.parametrize("value", [b"", b"-1", b"nan", b"Wed, 21 Oct 2026 07:28:00 GMT"])
-    def test_value_that_means_nothing(self, value):
-        _, chosen = trio.run(asked, 503, value, "/v1/call")
+    def test_invalid_retry_after(self, value):
+        _, chosen = trio.run(choose_after_rejection, 503, value, "/v1/call")
         assert chosen.is_ok()
--- a/tests/entry/test_delivery.py
+++ b/tests/entry/test_delivery.py
@@ -1,4 +1,4 @@
-"""Pieces of an answer on their way from a backend server to the caller."""
+"""Delivery of answer pieces from a backend server to the caller."""
 
 from types import SimpleNamespace
 
@@ -15,9 +15,9 @@
 from siskinspoke.protocol.engine import Chunk
 
 HOST = "127.0.0.1"
-WHOLE = (Chunk("r", 1, 7, 0, 1, "a ", False), Chunk("r", 1, 7, 1, 0, "", True))
-# The watch gives a silent server up after half a second at the earliest.
-BETWEEN_CHUNKS_SECONDS = 1.6
+CHUNKS = (Chunk("r", 1, 7, 0, 1, "a ", False), Chunk("r", 1, 7, 1, 0, "", True))
+# Longer than the 0.5 s of silence after which the watchdog may cancel an attempt.
+CHUNK_INTERVAL_SECONDS = 1.6
 
 
 def make_job() -> CompletionJob:
@@ -25,7 +25,7 @@
     configuration = SimpleNamespace(limits=limits)
     context = SimpleNamespace(
         holder=SimpleNamespace(current=SimpleNamespace(configuration=configuration)),
-        standstill=Standstill(0.0),
+        stall_detector=Standstill(0.0),
     )
     completion = Completion(
         "m", "x" * 40, 4, stream=True, timeout_ms=9_000, idempotent=True, key=None
@@ -33,28 +33,28 @@
     return CompletionJob(context, None, completion, "r", trio.current_time() + 9)
 
 
-async def serve(stream: trio.SocketStream, answers_questions: bool) -> None:
-    """Speak as an engine that pauses between two chunks, and may answer small questions."""
+async def serve_engine(stream: trio.SocketStream, answers_probes: bool) -> None:
+    """Act as an engine that pauses between chunks and, optionally, answers probes."""
     async with stream:
         asked = await stream.receive_some(4_096)
         if asked.startswith(b"GET"):
-            if not answers_questions:
+            if not answers_probes:
                 await trio.sleep_forever()
             body = b'{"first":0,"events":[]}'
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
             await stream.send_all(head % len(body) + body)
             return
         await stream.send_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-        for chunk in WHOLE:
-            await trio.sleep(BETWEEN_CHUNKS_SECONDS)
+        for chunk in CHUNKS:
+            await trio.sleep(CHUNK_INTERVAL_SECONDS)
             await stream.send_all(msgspec.json.encode(chunk) + b"\n")
 
 
-async def read_answer(answers_questions: bool):
-    """Return how an attempt ends at a server that announces itself no more."""
+async def read_answer(answers_probes: bool):
+    """Return the end of an attempt at a server that has stopped sending announcements."""
     async with Backend(Counters()) as backend, trio.open_nursery() as nursery:
         listeners = await nursery.start(
-            trio.serve_tcp, lambda stream: serve(stream, answers_questions), 0
+            trio.serve_tcp, lambda stream: serve_engine(stream, answers_probes), 0
         )
         port = listeners[0].socket.getsockname()[1]
         target = Target("engine-1", 7, HOST, port)
@@ -76,21 +76,21 @@
     return end
 
 
-class TestDelivery:
-    """What is given up in the moment in which it arrives is not counted as delivered."""
+class TestCancelledDelivery:
+    """Pieces whose delivery is cancelled do not count as delivered."""
 
-    def test_pieces_given_up_on_the_way_come_again(self):
-        """A clerk's answer lacks words in its middle, and still ends as complete.
+    def test_cancelled_pieces_are_not_counted(self):
+        """Guards against a gap in an answer that is reported as complete.
 
-        An entry VM freezes in mid-answer and thaws.  Pieces have arrived and their server's
-        announcements have lapsed, so the watch gives the attempt up before the pieces are
-        handed on.  They were counted, and the next attempt began behind them.
+        An entry VM resumes after a freeze.  Pieces have arrived, but the lease of their server
+        has expired, so the watchdog cancels the attempt before the pieces are delivered.  If
+        they were counted, the next attempt would begin after them.
         """
 
         async def run() -> CompletionJob:
             job = make_job()
-            with trio.CancelScope() as given_up:
-                given_up.cancel()
+            with trio.CancelScope() as scope:
+                scope.cancel()
                 await job._deliver([Piece(0, 2, "a b ")], None)
             return job
 
@@ -100,18 +100,18 @@
 
 
 class TestSilentServers:
-    """A server that is silent and announces itself no more is asked before it is given up."""
+    """A silent server without announcements is probed before its attempt is cancelled."""
 
-    def test_busy_server_is_waited_for(self):
-        """A resumed stream fails though its engine is well.
+    def test_busy_server_keeps_its_attempt(self):
+        """Guards against a resumed stream that fails although its engine is healthy.
 
-        The entry VM dies to which the engine announced itself, so its lease lapses at the
-        others; the engine needs more than half a second for a token.
+        The entry VM that received the announcements of the engine dies, so the lease expires at
+        the other VMs, and the engine takes more than half a second for a token.
         """
         assert trio.run(read_answer, True) == Completed(1)
 
-    def test_frozen_server_is_given_up(self):
-        """A frozen engine keeps its connections open and answers nothing."""
+    def test_frozen_server_loses_its_attempt(self):
+        """A frozen engine keeps its connections open and does not answer the probe."""
         end = trio.run(read_answer, False)
         assert isinstance(end, Lost)
-        assert end.reason == "server fell silent"
+        assert end.reason == "the server stopped responding"
--- a/tests/entry/test_going_on.py
+++ b/tests/entry/test_going_on.py
@@ -1,4 +1,4 @@
-"""An answer that has begun, and for whose rest no engine has room at first."""
+"""Interrupted answers for which no engine is available at first."""
 
 import random
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 class FakeBackend:
-    """Stand before engines: the first breaks off behind two tokens, the next ones end well."""
+    """Break off the first attempt after two tokens and complete all later ones."""
 
     def __init__(self) -> None:
         self.servers: list[str] = []
@@ -39,7 +39,7 @@
 
 
 class FakeRouter:
-    """Give the engines of a script, one a question; None in it is a full fleet."""
+    """Return scripted choices in turn and repeat the last one; None stands for a full fleet."""
 
     def __init__(self, *servers: int | None) -> None:
         self._servers = list(servers)
@@ -47,7 +47,7 @@
 
     def choose(self, work, now, rng):
         server = self._servers.pop(0) if len(self._servers) > 1 else self._servers[0]
-        return Error(FULL) if server is None else Ok(choice(server))
+        return Error(FULL) if server is None else Ok(make_choice(server))
 
     def dispatched(self, *_):
         return None
@@ -56,8 +56,8 @@
         return None
 
 
-class OnlyEngine(FakeRouter):
-    """Give one engine, unless the request passes it over."""
+class SingleEngineRouter(FakeRouter):
+    """Return the only engine unless the request excludes it."""
 
     def choose(self, work, now, rng):
         chosen = super().choose(work, now, rng)
@@ -65,13 +65,13 @@
         return Error(FULL) if server in work.excluded else chosen
 
 
-def choice(number: int) -> Choice:
-    """Return the choice of one engine."""
+def make_choice(number: int) -> Choice:
+    """Return a choice of one engine."""
     return Choice((ServerRecord(announcement(number, 1, "sala-a"), 0.0),), 50.0, 0)
 
 
 def make_job(router: FakeRouter, retries: RetryBudget, seconds: float) -> CompletionJob:
-    """Return a job of a caller who waits so long."""
+    """Return a job with a deadline after ``seconds``."""
     limits = SimpleNamespace(reader_timeout_ms=1_000, short_tokens=4_000, long_tokens=64_000)
     configuration = SimpleNamespace(limits=limits)
     context = SimpleNamespace(
@@ -87,7 +87,7 @@
         request_opened=lambda: None,
         request_closed=lambda: None,
         rng=random.Random(1),
-        standstill=Standstill(0.0),
+        stall_detector=Standstill(0.0),
     )
     completion = Completion(
         "m", "x" * 40, 4, stream=True, timeout_ms=seconds * 1000, idempotent=True, key=None
@@ -96,26 +96,27 @@
     return CompletionJob(context, Caller("acme", 1.0, 5), completion, "r", deadline)
 
 
-class TestBegunAnswer:
-    """An answer that broke off goes on as soon as there is an engine for it."""
+class TestInterruptedAnswer:
+    """An answer that broke off continues as soon as an engine is available."""
 
-    def test_waits_for_room(self):
-        """An engine dies in mid-answer while all others are full; a slot is free soon after.
+    def test_waits_for_free_engine(self):
+        """Guards against ENGINE_LOST while there is time left before the deadline.
 
-        The caller's answer ended with ENGINE_LOST at once, with seconds of its time left.
+        An engine dies in the middle of an answer while all others are full, and a slot becomes
+        free shortly after.
         """
 
         async def run() -> CompletionJob:
             job = make_job(FakeRouter(None, None, 2), RetryBudget(0.1), 5)
-            await job.run(choice(1))
+            await job.run(make_choice(1))
             return job
 
         job = trio.run(run)
         assert job.failure is None
         assert job.tokens == 3
 
-    def test_waits_for_budget(self):
-        """Many engines die together, and the retries of all answers spend the budget."""
+    def test_waits_for_retry_budget(self):
+        """Many engines die at once, and retries of other answers have spent the budget."""
 
         async def run() -> CompletionJob:
             retries = RetryBudget(1.0)
@@ -124,7 +125,7 @@
             job = make_job(FakeRouter(2), retries, 5)
             job._context.retries = SimpleNamespace(take=retries.take, first_attempt=lambda: None)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(job.run, choice(1))
+                nursery.start_soon(job.run, make_choice(1))
                 await trio.sleep(0.3)
                 assert job.tokens == 2
                 assert job.failure is None
@@ -135,25 +136,25 @@
         assert job.failure is None
         assert job.tokens == 3
 
-    def test_goes_back_to_an_engine_that_is_well_again(self):
-        """A cut parts a VM from its only engine for a moment; the rest could come from there."""
+    def test_returns_to_recovered_engine(self):
+        """A short partition separates a VM from its only engine, which could finish the answer."""
 
         async def run() -> CompletionJob:
-            job = make_job(OnlyEngine(1), RetryBudget(0.1), 5)
-            await job.run(choice(1))
+            job = make_job(SingleEngineRouter(1), RetryBudget(0.1), 5)
+            await job.run(make_choice(1))
             return job
 
         job = trio.run(run)
         assert job.failure is None
         assert job.tokens == 3
 
-    def test_ends_with_its_time(self):
-        """No engine ever has room: the caller hears so when the time is over, not later."""
+    def test_ends_at_deadline(self):
+        """No engine becomes free: the request fails at its deadline and not later."""
 
         async def run() -> CompletionJob:
             job = make_job(FakeRouter(None), RetryBudget(0.1), 0.6)
             with trio.fail_after(0.8):
-                await job.run(choice(1))
+                await job.run(make_choice(1))
             return job
 
         job = trio.run(run)
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry VM of the product's own interface makes of servers that refuse."""
+"""Handling of refused connections at an entry VM of the product's own interface."""
 
 import random
 from types import SimpleNamespace
@@ -10,15 +10,15 @@
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.core.counters import Counters
 from siskinspoke.entry.context import now_ms, target_of
-from siskinspoke.entry.crashes import note_refusal
+from siskinspoke.entry.crashes import handle_connection_refused
 
 
-class TestRefusals:
-    """A server that refuses has crashed, unless all of its failure domain refuse."""
+class TestRefusedConnections:
+    """A server that refuses connections has crashed, unless its whole failure domain refuses."""
 
     @pytest.mark.parametrize("all_refuse", [False, True])
-    def test_cut_that_refuses_is_no_crash(self, all_refuse):
-        """Each server behind such a cut was noted as crashed, with who was open there."""
+    def test_partition_is_not_a_crash(self, all_refuse):
+        """Guards against recording each server behind a partition as crashed, with suspects."""
         directory = Directory(4_800)
         for number in range(4):
             directory.hear(announcement(number, 3, "sala-a"), now_ms())
@@ -32,9 +32,9 @@
             directory=directory,
             rng=random.Random(1),
             crashes=SimpleNamespace(has_crashed=lambda start: False),
-            backend=SimpleNamespace(refuses=refuses),
+            backend=SimpleNamespace(refuses_connections=refuses),
             counters=Counters(),
-            crashed=crashed.append,
+            record_crash=crashed.append,
         )
-        trio.run(note_refusal, context, target_of(first))
+        trio.run(handle_connection_refused, context, target_of(first))
         assert crashed == ([] if all_refuse else [target_of(first)])
