--- a/siskinspoke/entry/calls.py
+++ b/siskinspoke/entry/calls.py
@@ -16,7 +16,7 @@
     Claimed,
     claim,
     claim_name,
-    find_out,
+    confirm_never_began,
     lookup,
     settle_not_run,
     settle_ran,
@@ -222,7 +222,7 @@
             return await self._settle_server_error(error, attempt)
         except httpx.HTTPError:
             await self._check_for_crash(target)
-            if await find_out(context, target, self._request_id, attempt):
+            if await confirm_never_began(context, target, self._request_id, attempt):
                 self._excluded.add(target.server)
                 await settle_not_run(context, self._subject(), attempt)
                 return None
--- a/siskinspoke/entry/claiming.py
+++ b/siskinspoke/entry/claiming.py
@@ -110,7 +110,9 @@
     await context.control.settle(request, SETTLE_SECONDS)
 
 
-async def find_out(context: EntryContext, target: Target, request: str, attempt: int) -> bool:
+async def confirm_never_began(
+    context: EntryContext, target: Target, request: str, attempt: int
+) -> bool:
     """Return whether an attempt provably never began and never will.
 
     The server must confirm it in the incarnation that the claim names, because a restarted
--- a/siskinspoke/entry/completions.py
+++ b/siskinspoke/entry/completions.py
@@ -18,7 +18,7 @@
     Claimed,
     claim,
     claim_name,
-    find_out,
+    confirm_never_began,
     lookup,
     settle_not_run,
     settle_ran,
@@ -343,7 +343,7 @@
         if isinstance(end, NotBegun) and not end.reached:
             context.directory.suspect(target.server, target.incarnation, now_ms())
             progress.excluded.put_off(target.server, now_ms())
-        never_began = isinstance(end, NotBegun) or await find_out(
+        never_began = isinstance(end, NotBegun) or await confirm_never_began(
             context, target, self.request_id, progress.attempt
         )
         progress.running_target = None
--- a/siskinspoke/testing/mutants.py
+++ b/siskinspoke/testing/mutants.py
@@ -47,10 +47,10 @@
 def unknown_is_not_run() -> None:
     """Take a call that broke off for one that never began."""
 
-    async def find_out(context, target, request, attempt):
+    async def confirm_never_began(context, target, request, attempt):
         return True
 
-    calls.find_out = find_out
+    calls.confirm_never_began = confirm_never_began
 
 
 def any_version() -> None:
