--- a/siskinspoke/entry/calls.py
+++ b/siskinspoke/entry/calls.py
@@ -137,6 +137,7 @@
         return _decode_answer(response)
 
     def _subject(self) -> str:
+        """Return the claim name, or the request id if the request has no key."""
         key = self._call.key
         return claim_name(self._caller.customer, key) if key else self._request_id
 
--- a/tests/entry/test_back_off.py
+++ b/tests/entry/test_back_off.py
@@ -34,16 +34,18 @@
         port = listeners[0].socket.getsockname()[1]
         directory = Directory(60_000)
         for number in range(servers):
-            said = announcement(number + 1, 1, "sala-a")
-            said = said._replace(host=HOST, port=port, queued=[], free_tokens=400_000)
-            directory.hear(said._replace(total_tokens=400_000, prefill_rate=40_000.0), now_ms())
+            announced = announcement(number + 1, 1, "sala-a")
+            announced = announced._replace(host=HOST, port=port, queued=[], free_tokens=400_000)
+            directory.hear(
+                announced._replace(total_tokens=400_000, prefill_rate=40_000.0), now_ms()
+            )
         router = Router(directory, PrefixIndex(), "sala-a", backend.back_offs)
         target = target_of(directory.live(now_ms())[0])
         if path == "/v1/call":
             await backend.call(target, {})
         else:
-            parts = Assembler("r", 1, target.incarnation, 0)
-            await backend.stream(target, path, {}, parts, deliver, print, lambda: True)
+            assembler = Assembler("r", 1, target.incarnation, 0)
+            await backend.stream(target, path, {}, assembler, deliver, print, lambda: True)
         nursery.cancel_scope.cancel()
         work = Work("redactor", 2_000, 10, 0, 0, [], 10_000.0)
         return target.server, router.choose(work, now_ms(), random.Random(1))
--- a/tests/entry/test_delivery.py
+++ b/tests/entry/test_delivery.py
@@ -76,7 +76,7 @@
     return end
 
 
-class TestCancelledDelivery:
+class TestDelivery:
     """Pieces whose delivery is cancelled do not count as delivered."""
 
     def test_cancelled_pieces_are_not_counted(self):
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -23,7 +23,7 @@
         for number in range(4):
             directory.hear(announcement(number, 3, "sala-a"), now_ms())
         first, *_ = directory.live(now_ms())
-        crashed = []
+        recorded_crashes = []
 
         async def refuses(target):
             return all_refuse or target == target_of(first)
@@ -34,7 +34,7 @@
             crashes=SimpleNamespace(has_crashed=lambda start: False),
             backend=SimpleNamespace(refuses_connections=refuses),
             counters=Counters(),
-            record_crash=crashed.append,
+            record_crash=recorded_crashes.append,
         )
         trio.run(handle_connection_refused, context, target_of(first))
-        assert crashed == ([] if all_refuse else [target_of(first)])
+        assert recorded_crashes == ([] if all_refuse else [target_of(first)])
