--- a/siskinspoke/conf/checks.py
+++ b/siskinspoke/conf/checks.py
@@ -1,4 +1,4 @@
-"""System checks over a whole settings document: clashes that no single field shows."""
+"""System checks that span several fields of a settings document."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -10,19 +10,22 @@
 
 @register
 def check_names(document: dict) -> Iterable[Fault]:
-    """Report names of VMs that stand twice."""
+    """Report duplicate VM names."""
     for section in ("entries", "controls"):
         counts = Counter(item["name"] for item in document[section])
         for name, count in counts.items():
             if count > 1:
                 yield Fault(
-                    "settings.E101", f"$.{section}", f"{name!r} stands {count} times", "rename one"
+                    "settings.E101",
+                    f"$.{section}",
+                    f"{name!r} is used {count} times",
+                    "names must be unique",
                 )
 
 
 @register
 def check_failure_domains(document: dict) -> Iterable[Fault]:
-    """Report VMs in a failure domain that the document does not list."""
+    """Report VMs whose failure domain is not listed in the document."""
     known = set(document["failure_domains"])
     for section in ("entries", "controls"):
         for index, item in enumerate(document[section]):
@@ -31,25 +34,25 @@
                     "settings.E102",
                     f"$.{section}[{index}].failure_domain",
                     f"{item['failure_domain']!r} is not in failure_domains",
-                    f"one of {sorted(known)}",
+                    f"use one of {sorted(known)}",
                 )
 
 
 @register
 def check_replica_count(document: dict) -> Iterable[Fault]:
-    """Report a number of control replicas that makes a poor quorum."""
+    """Report an unsupported number of control replicas."""
     if len(document["controls"]) not in REPLICA_COUNTS:
         yield Fault(
             "settings.E103",
             "$.controls",
-            f"{len(document['controls'])} replicas",
-            "use 1, 3, 5 or 7: an even count tolerates no more faults than one less",
+            f"{len(document['controls'])} replicas are not supported",
+            "use 1, 3, 5 or 7: an even count tolerates no more failures than one fewer",
         )
 
 
 @register
 def check_addresses(document: dict) -> Iterable[Fault]:
-    """Report two listeners on one address."""
+    """Report listeners that share an address."""
     seen: dict[tuple[str, int], str] = {}
     fields = {"entries": ("port", "internal_port"), "controls": ("port", "link_port")}
     for section, ports in fields.items():
@@ -59,14 +62,17 @@
                 address = (item["host"], item[port])
                 if address in seen:
                     yield Fault(
-                        "settings.E104", path, f"same address as {seen[address]}", "change one"
+                        "settings.E104",
+                        path,
+                        f"has the same address as {seen[address]}",
+                        "change one",
                     )
                 seen.setdefault(address, path)
 
 
 @register
 def check_customers(document: dict) -> Iterable[Fault]:
-    """Report customers with an unknown priority or a key that two share."""
+    """Report customers with an unknown priority or a shared key."""
     keys: dict[str, str] = {}
     for name, customer in document["customers"].items():
         path = f"$.customers.{name}"
@@ -75,16 +81,21 @@
                 "settings.E105",
                 f"{path}.priority",
                 f"{customer['priority']!r} is not in priorities",
-                f"one of {document['priorities']}",
+                f"use one of {document['priorities']}",
             )
         other = keys.setdefault(customer["key_sha256"], name)
         if other != name:
-            yield Fault("settings.E106", f"{path}.key_sha256", f"same key as {other}", "new key")
+            yield Fault(
+                "settings.E106",
+                f"{path}.key_sha256",
+                f"is the same as that of {other}",
+                "create a new key",
+            )
 
 
 @register
 def check_limits(document: dict) -> Iterable[Fault]:
-    """Report limits that contradict each other."""
+    """Report contradictory limits."""
     limits = document["limits"]
     if limits["short_tokens"] >= limits["long_tokens"]:
         yield Fault(
@@ -97,12 +108,12 @@
 
 @register
 def check_control_times(document: dict) -> Iterable[Fault]:
-    """Report heartbeats too slow for the election timeout."""
+    """Report a heartbeat interval that is too long for the election timeout."""
     times = document["control"]
     if times["heartbeat_ms"] * 3 > times["election_ms"]:
         yield Fault(
             "settings.E108",
             "$.control.heartbeat_ms",
-            "fewer than three heartbeats fit into election_ms",
-            "one lost message would depose a healthy leader",
+            "is more than a third of election_ms",
+            "otherwise one lost heartbeat could cost a healthy leader its leadership",
         )
--- a/siskinspoke/conf/loader.py
+++ b/siskinspoke/conf/loader.py
@@ -1,4 +1,4 @@
-"""Read a base file and an overlay, merge them, and report every fault at once."""
+"""Load a base file and an overlay, merge them, and collect all faults."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Document(NamedTuple):
-    """A settings file as read."""
+    """The decoded content of a settings file."""
 
     file: str
     content: dict
@@ -24,16 +24,18 @@
     try:
         content = msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
-        return Error([Fault("settings.E010", "$", error.strerror or str(error), "name it", path)])
+        return Error(
+            [Fault("settings.E010", "$", error.strerror or str(error), "check the path", path)]
+        )
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Error([Fault("settings.E011", "$", str(error), "mend the JSON", path)])
+        return Error([Fault("settings.E011", "$", str(error), "fix the JSON", path)])
     if not isinstance(content, dict):
         return Error([Fault("settings.E011", "$", "is not an object", "use {...}", path)])
     return Ok(Document(path, content))
 
 
 def merge(base: Any, overlay: Any) -> Any:
-    """Return ``base`` with ``overlay`` laid over it; null takes a field away."""
+    """Merge ``overlay`` into ``base`` as a JSON Merge Patch; null removes a field."""
     if not (isinstance(base, dict) and isinstance(overlay, dict)):
         return overlay
     merged = dict(base)
@@ -46,9 +48,9 @@
 
 
 def difference(old: Any, new: Any) -> Any:
-    """Return the overlay that makes ``new`` of ``old``: merge(old, difference(old, new)) == new.
+    """Return the merge patch from ``old`` to ``new``: merge(old, difference(old, new)) == new.
 
-    Documents hold no null, so null can stand for a field that goes.
+    Null marks a removed field, which is unambiguous because documents contain no nulls.
     """
     if not (isinstance(old, dict) and isinstance(new, dict)):
         return new
@@ -61,16 +63,16 @@
     return overlay
 
 
-def _locate(fault: Fault, documents: list[Document]) -> Fault:
-    """Name the last file that holds the path of a fault, or the last file of all."""
+def _set_file(fault: Fault, documents: list[Document]) -> Fault:
+    """Set a fault's file to the last one that contains its path, or else the last one read."""
     steps = fault.path.replace("[", ".[").split(".")[1:]
     for document in reversed(documents):
-        if _holds(document.content, steps):
+        if _contains_path(document.content, steps):
             return fault._replace(file=document.file)
     return fault._replace(file=documents[-1].file)
 
 
-def _holds(content: Any, steps: list[str]) -> bool:
+def _contains_path(content: Any, steps: list[str]) -> bool:
     for step in steps:
         if step.startswith("["):
             index = int(step.strip("[]"))
@@ -85,12 +87,12 @@
 
 
 def load_files(base: str, overlay: str = "") -> Result[dict, list[Fault]]:
-    """Return the merged document with defaults, or every fault in both files."""
-    read = [read_document(path) for path in (base, overlay) if path]
-    faults = [fault for result in read if result.is_error() for fault in result.error]
+    """Return the merged document with defaults filled in, or the faults of both files."""
+    results = [read_document(path) for path in (base, overlay) if path]
+    faults = [fault for result in results if result.is_error() for fault in result.error]
     if faults:
         return Error(faults)
-    documents = [result.ok for result in read]
+    documents = [result.ok for result in results]
     merged = documents[0].content
     for document in documents[1:]:
         merged = merge(merged, document.content)
@@ -99,5 +101,5 @@
         merged = with_defaults(SETTINGS, merged)
         faults = run_checks(merged)
     if faults:
-        return Error([_locate(fault, documents) for fault in faults])
+        return Error([_set_file(fault, documents) for fault in faults])
     return Ok(merged)
--- a/siskinspoke/conf/schema.py
+++ b/siskinspoke/conf/schema.py
@@ -1,4 +1,4 @@
-"""The shape of a settings document and the walk that finds every fault in one pass."""
+"""Schema types for settings documents, and validation that reports all faults in one pass."""
 
 import re
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Integer:
-    """A whole number within bounds."""
+    """An integer within bounds."""
 
     low: int
     high: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Text:
-    """A string that matches a pattern as a whole."""
+    """A string that matches a pattern in full."""
 
     pattern: str = r".{0,256}"
     default: Any = REQUIRED
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True)
-class Flag:
-    """True or false."""
+class Boolean:
+    """A boolean."""
 
     default: Any = REQUIRED
     doc: str = ""
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class ListOf:
-    """A list whose items have one shape."""
+    """A list whose items share a schema."""
 
     item: Any
     default: Any = REQUIRED
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class MapOf:
-    """An object whose keys are names and whose values have one shape."""
+    """An object whose keys are names and whose values share a schema."""
 
     item: Any
     default: Any = REQUIRED
@@ -76,12 +76,12 @@
     doc: str = ""
 
 
-def validate(shape: Any, value: Any, path: str = "$") -> Iterator[Fault]:
-    """Yield every fault of ``value`` against ``shape``."""
-    match shape:
+def validate(schema: Any, value: Any, path: str = "$") -> Iterator[Fault]:
+    """Yield every violation of ``schema`` in ``value``."""
+    match schema:
         case Integer(low=low, high=high):
             if isinstance(value, bool) or not isinstance(value, int):
-                yield Fault("settings.E001", path, "is not a whole number", f"use {low}..{high}")
+                yield Fault("settings.E001", path, "is not an integer", f"use {low}..{high}")
             elif not low <= value <= high:
                 yield Fault("settings.E002", path, f"{value} is out of range", f"use {low}..{high}")
         case Number(low=low, high=high):
@@ -93,10 +93,10 @@
             if not isinstance(value, str):
                 yield Fault("settings.E001", path, "is not a string", "put it in quotes")
             elif not re.fullmatch(pattern, value):
-                yield Fault("settings.E003", path, f"{value!r} has the wrong form", pattern)
-        case Flag():
+                yield Fault("settings.E003", path, f"{value!r} does not match the pattern", pattern)
+        case Boolean():
             if not isinstance(value, bool):
-                yield Fault("settings.E001", path, "is not a flag", "use true or false")
+                yield Fault("settings.E001", path, "is not a boolean", "use true or false")
         case ListOf(item=item):
             if not isinstance(value, list):
                 yield Fault("settings.E001", path, "is not a list", "use [...]")
@@ -110,7 +110,10 @@
             for name, entry in value.items():
                 if not re.fullmatch(NAME_PATTERN, name):
                     yield Fault(
-                        "settings.E003", f"{path}.{name}", "is not a name", "a-z, 0-9 and '-'"
+                        "settings.E003",
+                        f"{path}.{name}",
+                        "is not a valid name",
+                        "use a-z, 0-9 and '-'",
                     )
                 yield from validate(item, entry, f"{path}.{name}")
         case Record(fields=fields):
@@ -123,17 +126,19 @@
 def _validate_record(fields: dict[str, Any], value: dict, path: str) -> Iterator[Fault]:
     for name in sorted(set(value) - set(fields)):
         known = ", ".join(sorted(fields))
-        yield Fault("settings.E004", f"{path}.{name}", "is not a known field", f"known: {known}")
-    for name, shape in fields.items():
+        yield Fault(
+            "settings.E004", f"{path}.{name}", "is an unknown field", f"known fields: {known}"
+        )
+    for name, schema in fields.items():
         if name in value:
-            yield from validate(shape, value[name], f"{path}.{name}")
-        elif shape.default is REQUIRED:
-            yield Fault("settings.E005", f"{path}.{name}", "is missing", shape.doc or "add it")
+            yield from validate(schema, value[name], f"{path}.{name}")
+        elif schema.default is REQUIRED:
+            yield Fault("settings.E005", f"{path}.{name}", "is missing", schema.doc or "add it")
 
 
-def with_defaults(shape: Any, value: Any) -> Any:
-    """Return a valid value with the documented defaults filled in."""
-    match shape:
+def with_defaults(schema: Any, value: Any) -> Any:
+    """Return a valid value with defaults filled in."""
+    match schema:
         case Record(fields=fields):
             return {
                 name: with_defaults(inner, value.get(name, inner.default))
--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings: merge, faults, defaults and the examples."""
+"""Tests of settings: merging, validation, defaults and the example files."""
 
 import json
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 def load(tmp_path, change):
-    """Load a sound site after a change to its overlay."""
+    """Load a valid site with a change applied to its overlay."""
     files = write_site(20, tmp_path)
     document = json.loads(files.overlay.read_text())
     change(document)
@@ -23,7 +23,7 @@
 
 
 class TestMerge:
-    """An overlay lies over the base."""
+    """Merging an overlay into a base document."""
 
     def test_objects_merge_lists_replace_null_removes(self):
         base = {"a": {"b": 1, "c": 2}, "d": [1, 2], "e": 3}
@@ -39,16 +39,16 @@
 
 
 class TestDifference:
-    """What replicas send to a VM that has an older version."""
+    """The patches that replicas send to a VM with an older configuration version."""
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(old=DOCUMENTS, new=DOCUMENTS)
-    def test_leads_from_old_to_new(self, old, new):
+    def test_merging_the_difference_gives_the_new_document(self, old, new):
         assert merge(old, difference(old, new)) == new
 
 
 class TestFaults:
-    """Every fault is reported at once, with file, path, id and hint."""
+    """All faults are reported at once, with file, path, id and hint."""
 
     def test_all_faults_in_one_pass(self, tmp_path):
         def change(document):
@@ -82,7 +82,7 @@
             ("settings.E108", lambda d: d.update(control={"heartbeat_ms": 700})),
         ],
     )
-    def test_clashes(self, tmp_path, identifier, change):
+    def test_conflicts_between_fields(self, tmp_path, identifier, change):
         assert [fault.id for fault in load(tmp_path, change).error] == [identifier]
 
     def test_broken_files(self, tmp_path):
@@ -92,7 +92,7 @@
 
 
 class TestExamples:
-    """The examples of both sites are sound."""
+    """The example settings of both sites are valid."""
 
     @pytest.mark.parametrize("site", ["litoral", "marmara"])
     def test_no_faults(self, site):
