--- a/siskinspoke/__main__.py
+++ b/siskinspoke/__main__.py
@@ -3,21 +3,21 @@
 import signal
 import sys
 
-# A daemon takes half a second to load.  Until it listens for SIGHUP, one that says that its
-# settings have changed would end it; it reads them after this anyway.
+# Loading a daemon takes half a second.  Until its SIGHUP handler is installed, the signal for
+# changed settings would terminate it; the settings are read later anyway, so it is ignored.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-# Callers may connect from now on, while the rest is loaded.
-from siskinspoke.transport.early import listen_early  # noqa: E402  (the signal comes first)
+# Accepts connections from clients while the remaining modules are loaded.
+from siskinspoke.transport.early import listen_early  # noqa: E402  (SIGHUP is ignored first)
 
 if sys.argv[1:2] == ["gateway"]:
     listen_early(sys.argv[2:])
 
-from siskinspoke.management import execute  # noqa: E402  (the listener comes first)
+from siskinspoke.management import execute  # noqa: E402  (the listener is opened first)
 
 
 def run() -> None:
-    """Run the command named on the command line and exit with its code."""
+    """Run the given command and exit with its code."""
     sys.exit(execute(sys.argv))
 
 
--- a/siskinspoke/conf/__init__.py
+++ b/siskinspoke/conf/__init__.py
@@ -1,7 +1,7 @@
-"""Settings: a base file and an overlay per site, checked before use.
+"""Settings: a base file and a per-site overlay, validated before use.
 
-The names below are loaded at their first use: a VM that has settings of another kind
-(``conf.vm``) would otherwise load them at each start, before it serves anybody.
+The names below are imported lazily: a VM that is configured through ``conf.vm`` does not need
+them, and importing them would delay its start.
 """
 
 import importlib
@@ -21,7 +21,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load a name from its module at its first use."""
+    """Import a public name from its module on first access."""
     if name not in _MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     return getattr(importlib.import_module(f"{__name__}.{_MODULES[name]}"), name)
--- a/siskinspoke/conf/settings.py
+++ b/siskinspoke/conf/settings.py
@@ -1,4 +1,4 @@
-"""Typed settings and configuration, made from checked documents."""
+"""Typed settings and configuration, built from validated documents."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -13,7 +13,7 @@
 
 
 class EntryVM(NamedTuple):
-    """Where one entry daemon runs."""
+    """The VM that runs an entry daemon."""
 
     name: str
     failure_domain: str
@@ -24,7 +24,7 @@
 
 
 class ControlVM(NamedTuple):
-    """Where one control replica runs."""
+    """The VM that runs a control replica."""
 
     name: str
     failure_domain: str
@@ -44,7 +44,7 @@
 
 
 class Service(NamedTuple):
-    """What callers may name as model or service."""
+    """A model or service that clients may request."""
 
     kind: str
     idempotent: bool
@@ -52,7 +52,7 @@
 
 
 class Customer(NamedTuple):
-    """Who may call, with what share and priority."""
+    """A customer's credentials, fair share and priority."""
 
     key_sha256: str
     weight: float
@@ -60,7 +60,7 @@
 
 
 class Limits(NamedTuple):
-    """Bounds on requests; the fields are documented in ``conf.defaults``."""
+    """Limits on requests; ``conf.defaults`` documents the fields."""
 
     max_body_bytes: int
     body_timeout_ms: int
@@ -78,7 +78,7 @@
 
 
 class Configuration(NamedTuple):
-    """The part of the settings that operators change while the system runs."""
+    """The part of the settings that operators can change at run time."""
 
     services: dict[str, Service]
     customers: dict[str, Customer]
@@ -87,16 +87,16 @@
 
     @property
     def customers_by_key(self) -> dict[str, str]:
-        """Return customers' names by the digest of their key."""
+        """Return customer names by the SHA-256 digest of their key."""
         return {customer.key_sha256: name for name, customer in self.customers.items()}
 
     def priority_rank(self, customer: str) -> int:
-        """Return the rank of a customer's priority; 0 goes first."""
+        """Return the rank of a customer's priority; 0 is the highest."""
         return self.priorities.index(self.customers[customer].priority)
 
 
 class Settings(NamedTuple):
-    """A whole settings document, typed."""
+    """A complete, typed settings document."""
 
     site: str
     failure_domains: list[str]
@@ -112,23 +112,23 @@
     configuration: Configuration
 
     def entry(self, name: str) -> EntryVM:
-        """Return the entry VM of that name."""
-        return _named(self.entries, name, "entry")
+        """Return an entry VM by name."""
+        return _find_by_name(self.entries, name, "entry")
 
     def control_vm(self, name: str) -> ControlVM:
-        """Return the control VM of that name."""
-        return _named(self.controls, name, "control replica")
+        """Return a control VM by name."""
+        return _find_by_name(self.controls, name, "control replica")
 
 
-def _named(items: list[Any], name: str, what: str) -> Any:
+def _find_by_name(items: list[Any], name: str, kind: str) -> Any:
     for item in items:
         if item.name == name:
             return item
-    raise FailureError(Failure(ResultCode.USAGE, f"the settings name no {what} {name!r}"))
+    raise FailureError(Failure(ResultCode.USAGE, f"the settings contain no {kind} {name!r}"))
 
 
 def configuration_from(document: dict) -> Result[Configuration, list[Fault]]:
-    """Return the typed configuration, or every fault of the document."""
+    """Return the typed configuration, or all faults of the document."""
     faults = list(validate(CONFIGURATION, document))
     if faults:
         return Error(faults)
@@ -143,13 +143,13 @@
     )
 
 
-def configuration_part(document: dict) -> dict:
-    """Return the part of a settings document that the control replicas keep."""
+def extract_configuration(document: dict) -> dict:
+    """Return the part of a settings document that the control replicas store."""
     return {name: document[name] for name in CONFIGURATION.fields}
 
 
 def _read_key(path: str, folder: Path) -> str:
-    """Read a secret; the path is relative to the base file."""
+    """Read a secret from a file; the path is relative to the base file."""
     try:
         return (folder / path).read_text().strip()
     except OSError as error:
@@ -158,14 +158,14 @@
 
 
 def settings_from(base: str, overlay: str = "") -> Settings:
-    """Load, check and type the settings; raise FailureError with every fault."""
+    """Load and validate the settings; raise FailureError with all faults."""
     loaded = load_files(base, overlay)
     if loaded.is_error():
         message = "\n".join(str(fault) for fault in loaded.error)
         raise FailureError(Failure(ResultCode.INVALID_SETTINGS, message))
     document = loaded.ok
     folder = Path(base).parent
-    part = configuration_part(document)
+    part = extract_configuration(document)
     return Settings(
         document["site"],
         document["failure_domains"],
--- a/siskinspoke/conf/vm.py
+++ b/siskinspoke/conf/vm.py
@@ -1,7 +1,7 @@
-"""What one VM is told of itself when it learns the rest from other VMs at run time.
+"""The settings file of a single VM that discovers the other VMs at run time.
 
-The file is JSON.  Unlike the base file and overlay of a site it names no other VM but a few
-seeds: control VMs and entry VMs find each other through them.
+The file is JSON.  Unlike a site's base file and overlay, it lists no other VMs except a few seeds,
+through which control VMs and entry VMs discover each other.
 """
 
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 class Address(NamedTuple):
-    """Where a process listens."""
+    """A host and port to listen on or connect to."""
 
     host: str
     port: int
@@ -24,16 +24,16 @@
 
 
 def address_from(text: str) -> Address:
-    """Return the address that ``HOST:PORT`` names."""
+    """Parse ``HOST:PORT``."""
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
 
 
 class VmFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The fields of a VM's settings file; times are in milliseconds.
+    """The fields of a VM's settings file; times are in milliseconds unless named otherwise.
 
-    ``public``, ``ready`` and ``operators`` are addresses that this VM serves, empty where it
-    does not.  ``found`` is true only where the whole system starts for the first time.
+    ``public``, ``ready`` and ``operators`` are the addresses that this VM serves; empty ones are
+    disabled.  ``found`` is true only when the whole system starts for the first time.
     """
 
     name: str
@@ -54,7 +54,7 @@
 
 
 class VmSettings(NamedTuple):
-    """A VM's settings, as the program uses them."""
+    """A VM's settings, parsed."""
 
     name: str
     host: str
@@ -74,22 +74,22 @@
 
     @property
     def link_port(self) -> int:
-        """Return the port on which control replicas hear each other."""
+        """Return the port for messages between control replicas."""
         return self.internal_ports[0]
 
     @property
     def feed_port(self) -> int:
-        """Return the port on which control VMs tell others what they know."""
+        """Return the port on which control VMs publish their state to followers."""
         return self.internal_ports[0] + 1
 
     @property
     def peer_port(self) -> int:
-        """Return the port on which entry VMs hear each other."""
+        """Return the port for messages between entry VMs."""
         return self.internal_ports[0] + 2
 
     @property
     def seed_hosts(self) -> tuple[str, ...]:
-        """Return the hosts of the seeds, in a fixed order."""
+        """Return the distinct hosts of the seeds, sorted."""
         return tuple(sorted({seed.host for seed in self.seeds}))
 
 
@@ -97,36 +97,36 @@
     """Read a VM's settings file."""
     try:
         read = msgspec.json.decode(Path(path).read_bytes(), type=VmFile)
-        return Ok(_settings(read))
+        return Ok(_to_vm_settings(read))
     except OSError as error:
         return Error(Failure(ResultCode.INVALID_SETTINGS, f"{path}: {error.strerror}"))
     except (msgspec.MsgspecError, ValueError) as error:
         return Error(Failure(ResultCode.INVALID_SETTINGS, f"{path}: {error}"))
 
 
-def _optional(text: str) -> Address | None:
+def _parse_optional_address(text: str) -> Address | None:
     return address_from(text) if text else None
 
 
-def _settings(read: VmFile) -> VmSettings:
-    if len(read.internal_ports) != 2:
-        raise ValueError("internal_ports: give the first and the last port")
-    if not read.seeds:
-        raise ValueError("seeds: name at least one control VM")
+def _to_vm_settings(vm_file: VmFile) -> VmSettings:
+    if len(vm_file.internal_ports) != 2:
+        raise ValueError("internal_ports must list the first and the last port")
+    if not vm_file.seeds:
+        raise ValueError("seeds must list at least one control VM")
     return VmSettings(
-        name=read.name,
-        host=read.host,
-        failure_domain=read.failure_domain,
-        seeds=tuple(address_from(item) for item in read.seeds),
-        internal_ports=(read.internal_ports[0], read.internal_ports[1]),
-        found=read.found,
-        public=_optional(read.public),
-        ready=_optional(read.ready),
-        operators=_optional(read.operators),
-        data_folder=read.data_folder,
-        shutdown_seconds=read.shutdown_seconds,
-        announce_every_ms=read.announce_every_ms,
-        retry_share=read.retry_share,
-        retry_burst=read.retry_burst,
-        internal_key=read.internal_key.encode(),
+        name=vm_file.name,
+        host=vm_file.host,
+        failure_domain=vm_file.failure_domain,
+        seeds=tuple(address_from(item) for item in vm_file.seeds),
+        internal_ports=(vm_file.internal_ports[0], vm_file.internal_ports[1]),
+        found=vm_file.found,
+        public=_parse_optional_address(vm_file.public),
+        ready=_parse_optional_address(vm_file.ready),
+        operators=_parse_optional_address(vm_file.operators),
+        data_folder=vm_file.data_folder,
+        shutdown_seconds=vm_file.shutdown_seconds,
+        announce_every_ms=vm_file.announce_every_ms,
+        retry_share=vm_file.retry_share,
+        retry_burst=vm_file.retry_burst,
+        internal_key=vm_file.internal_key.encode(),
     )
--- a/siskinspoke/conf/watch.py
+++ b/siskinspoke/conf/watch.py
@@ -1,4 +1,4 @@
-"""Follow the settings file of a VM: it changes with a signal or without one."""
+"""Reload the settings file of a VM, which may change with or without a signal."""
 
 from collections.abc import Callable
 
@@ -8,30 +8,30 @@
 
 
 class SettingsWatch:
-    """Own the settings in force; only the seeds change while a process runs."""
+    """Hold the current settings; only the seeds can change while the process runs."""
 
     def __init__(
         self,
-        read: Callable[[], VmSettings],
+        read_settings: Callable[[], VmSettings],
         on_seeds: Callable[[tuple[str, ...]], None],
         log: DecisionLog,
     ):
-        self._read = read
-        self._on_seeds = on_seeds
+        self._read_settings = read_settings
+        self._on_seeds_changed = on_seeds
         self._log = log
-        self.settings = read()
+        self.settings = read_settings()
 
     def look(self) -> None:
-        """Read the file again and pass on changed seeds; one that cannot be read changes nothing.
+        """Read the file again and report changed seeds.
 
-        The file may be caught half written, or be wrong; the process goes on with what it has.
+        A file that is invalid or only partly written is ignored: the current settings remain.
         """
         try:
-            changed = self._read()
+            changed = self._read_settings()
         except FailureError as error:
             self._log.note("reload.refused", reason=str(error))
             return
         if changed.seed_hosts != self.settings.seed_hosts:
             self._log.note("reload", seeds=list(changed.seed_hosts))
             self.settings = self.settings._replace(seeds=changed.seeds)
-            self._on_seeds(changed.seed_hosts)
+            self._on_seeds_changed(changed.seed_hosts)
