--- a/siskinspoke/analysis/__init__.py
+++ b/siskinspoke/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""Read decision logs back into tables."""
+"""Offline analysis of decision logs."""
--- a/siskinspoke/analysis/foresight.py
+++ b/siskinspoke/analysis/foresight.py
@@ -1,7 +1,8 @@
-"""Say from gateways' logs how far decisions on prompts were off: what was foreseen, and what came.
+"""Compare predicted and actual first-token times of prompts, by decision, from gateway logs.
 
-The regret of a placement is by how much the first token came later than expected, that of a second
-try whether it was in time all the same, and that of a move whether the stream kept its pause.
+For a placement the error is by how much the first token came later than predicted.  For a retry it
+matters whether the token still met its target, and for a move whether the stream kept its maximum
+pause; both show in the number of successful requests.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,86 +11,86 @@
 
 from siskinspoke.analysis.losses import RequestLine
 
-SHARES = (0.1, 0.5, 0.8, 0.9, 0.98)
+QUANTILES = (0.1, 0.5, 0.8, 0.9, 0.98)
 
 
 class Decision(Enum):
-    """What was decided on a prompt after it had come; the first that fits is taken."""
+    """What was decided for a prompt after it was received; the first match applies."""
 
-    MOVED = "moved before a long reading"
-    SECOND_TRY = "tried elsewhere, since its first token was late"
-    RESUMED = "resumed elsewhere after a break"
-    STAYED = "stayed where it was placed"
+    MOVED = "moved ahead of a long prefill"
+    RETRIED = "retried elsewhere: first token late"
+    RESUMED = "resumed elsewhere after an interruption"
+    UNCHANGED = "completed where it was placed"
 
 
-# What an attempt's outcome begins with, and the decision that it led to.
-_OUTCOMES = (
+# Prefixes of attempts' outcomes in the log, and the decisions that followed.
+_DECISIONS_BY_OUTCOME = (
     ("its engine reads", Decision.MOVED),
-    ("no answer in time", Decision.SECOND_TRY),
-    ("complete", Decision.STAYED),
+    ("no answer in time", Decision.RETRIED),
+    ("complete", Decision.UNCHANGED),
 )
 
 
-def decision_of(line: RequestLine) -> Decision:
-    """Return what was decided on a prompt."""
+def classify_decision(line: RequestLine) -> Decision:
+    """Return the decision taken for a prompt."""
     for _server, outcome, _at in line.tried:
-        for begins, decision in _OUTCOMES:
-            if outcome.startswith(begins):
+        for prefix, decision in _DECISIONS_BY_OUTCOME:
+            if outcome.startswith(prefix):
                 return decision
         return Decision.RESUMED
-    return Decision.STAYED
+    return Decision.UNCHANGED
 
 
-def regret_ms(line: RequestLine) -> float | None:
-    """Return by how much a first token came later than expected at its last attempt."""
+def first_token_error_ms(line: RequestLine) -> float | None:
+    """Return how much later than predicted the first token of the last attempt came."""
     if line.first is None or line.expected is None or not line.tried:
         return None
     began = line.tried[-2][2] if len(line.tried) > 1 else 0.0
     return line.first - began - line.expected if line.first >= began else None
 
 
-class Regret(NamedTuple):
-    """One decision's prompts: how many, how many of them ended well, and their regrets."""
+class DecisionStats(NamedTuple):
+    """Requests, successful requests and first-token errors of one decision."""
 
     decision: Decision
-    asked: int
-    well: int
-    regrets: Sequence[float]
+    request_count: int
+    success_count: int
+    errors_ms: Sequence[float]
 
     @property
     def row(self) -> str:
-        """Return the row of a table."""
-        spread = "  ".join(f"{_quantile(self.regrets, share):7.0f}" for share in SHARES)
-        return f"{self.asked:6} {self.well:6}  {spread}  {self.decision.value}"
+        """Return the table row of this decision."""
+        quantiles = "  ".join(f"{_quantile(self.errors_ms, q):7.0f}" for q in QUANTILES)
+        return f"{self.request_count:6} {self.success_count:6}  {quantiles}  {self.decision.value}"
 
 
-def _quantile(values: Sequence[float], share: float) -> float:
+def _quantile(values: Sequence[float], fraction: float) -> float:
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def regrets_of(lines: Iterable[RequestLine]) -> list[Regret]:
-    """Return the regrets of all prompts by decision."""
+def collect_stats(lines: Iterable[RequestLine]) -> list[DecisionStats]:
+    """Return the statistics of all prompts by decision."""
     by_decision: dict[Decision, list[RequestLine]] = {}
     for line in lines:
         if line.is_stream:
-            by_decision.setdefault(decision_of(line), []).append(line)
+            by_decision.setdefault(classify_decision(line), []).append(line)
     return [
-        Regret(
+        DecisionStats(
             decision,
-            len(found),
-            sum(line.is_good for line in found),
-            [regret for line in found if (regret := regret_ms(line)) is not None],
+            len(decided),
+            sum(line.is_successful for line in decided),
+            [error_ms for line in decided if (error_ms := first_token_error_ms(line)) is not None],
         )
         for decision in Decision
-        if (found := by_decision.get(decision))
+        if (decided := by_decision.get(decision))
     ]
 
 
-def table(regrets: Iterable[Regret]) -> str:
-    """Return the regrets as text; milliseconds by share of the prompts."""
-    heads = "  ".join(f"{share:7.0%}" for share in SHARES)
-    rows = [f" asked   well  {heads}  first token later than expected, ms, and decision"]
-    return "\n".join([*rows, *(item.row for item in regrets)])
+def format_table(stats: Iterable[DecisionStats]) -> str:
+    """Return the statistics as text, with quantiles of the errors in milliseconds."""
+    headings = "  ".join(f"{q:7.0%}" for q in QUANTILES)
+    rows = [f" total     ok  {headings}  first token later than predicted (ms), decision"]
+    return "\n".join([*rows, *(item.row for item in stats)])
--- a/siskinspoke/analysis/losses.py
+++ b/siskinspoke/analysis/losses.py
@@ -1,7 +1,7 @@
-"""Say from the decision logs of gateways which requests were late or failed, and why.
+"""Determine from gateways' decision logs which requests were late or failed, and why.
 
-Each request's line holds what decided it, so one pass over the logs answers the same question in
-the same way for any time: how many requests of a kind ended well, and what kept the others from it.
+The log line of a request contains everything that determined its outcome, so a single pass over the
+logs of any period counts successful requests and classifies the others by cause.
 """
 
 from collections import Counter
@@ -13,24 +13,24 @@
 
 
 class Cause(Enum):
-    """What kept a request from a good end; the first that fits is taken."""
-
-    CLIENT_LEFT = "its client left"
-    NOBODY = "no server could take it"
-    LOST_SERVER = "a server was lost or out of reach"
-    SILENT_SERVER = "a server did not answer in time"
-    BROKEN_SERVER = "a server broke off or spoilt its answer"
-    BUSY_SERVER = "a server or its memory was full"
-    SERVER_ERROR = "servers answered with errors"
-    TIMEOUT = "its time ran out"
-    PLACED_LATE = "no engine could have been in time"
-    WAITED = "it waited at its engine for longer than foreseen"
-    PAUSED = "its engine paused its stream"
-    OTHER = "something else"
+    """Why a request was late or failed; the first match applies."""
+
+    CLIENT_DISCONNECTED = "client disconnected"
+    NO_CANDIDATE = "no server available"
+    SERVER_UNREACHABLE = "server lost or unreachable"
+    SERVER_TIMEOUT = "server did not respond in time"
+    INVALID_RESPONSE = "server aborted or corrupted its response"
+    SERVER_OVERLOADED = "server overloaded or out of memory"
+    SERVER_ERROR = "server returned an error"
+    REQUEST_TIMEOUT = "request deadline passed"
+    NO_TIMELY_ENGINE = "no engine could meet the latency target"
+    QUEUED_TOO_LONG = "waited at the engine for longer than predicted"
+    STREAM_STALLED = "engine paused the stream"
+    OTHER = "other"
 
 
 class RequestLine(msgspec.Struct):
-    """The fields of a request's line that tell why it ended as it did; times in milliseconds."""
+    """The fields of a request's log line that determine its outcome; times in milliseconds."""
 
     request: str
     route: str
@@ -46,12 +46,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether the answer comes in events."""
+        """Whether the response is an event stream."""
         return self.pause_target > 0
 
     @property
-    def is_good(self) -> bool:
-        """Tell whether the answer came whole and in time."""
+    def is_successful(self) -> bool:
+        """Whether the response was complete and met its latency targets."""
         if self.end != "served" or self.status >= 500:
             return False
         if not self.is_stream:
@@ -60,60 +60,60 @@
         return in_time and self.longest_pause <= self.pause_target
 
 
-class Loss(NamedTuple):
-    """One request that did not end well, and why."""
+class FailedRequest(NamedTuple):
+    """A late or failed request and its cause."""
 
     line: RequestLine
     cause: Cause
 
 
-# What an attempt's outcome begins with, and the cause that it is.
-_OUTCOMES = (
-    ("the server cannot be reached", Cause.LOST_SERVER),
-    ("the server has started anew", Cause.LOST_SERVER),
-    ("no connection", Cause.LOST_SERVER),
-    ("another server has the address", Cause.LOST_SERVER),
-    ("no answer in time", Cause.SILENT_SERVER),
-    ("the answer did not end in time", Cause.SILENT_SERVER),
-    ("the stream fell silent", Cause.SILENT_SERVER),
-    ("memory could not be reserved", Cause.BUSY_SERVER),
-    ("refused with", Cause.BUSY_SERVER),
+# Prefixes of attempts' outcomes in the log, and the causes that they indicate.
+_CAUSES_BY_OUTCOME = (
+    ("the server cannot be reached", Cause.SERVER_UNREACHABLE),
+    ("the server has started anew", Cause.SERVER_UNREACHABLE),
+    ("no connection", Cause.SERVER_UNREACHABLE),
+    ("another server has the address", Cause.SERVER_UNREACHABLE),
+    ("no answer in time", Cause.SERVER_TIMEOUT),
+    ("the answer did not end in time", Cause.SERVER_TIMEOUT),
+    ("the stream fell silent", Cause.SERVER_TIMEOUT),
+    ("memory could not be reserved", Cause.SERVER_OVERLOADED),
+    ("refused with", Cause.SERVER_OVERLOADED),
     ("500", Cause.SERVER_ERROR),
     ("complete", None),
     ("200", None),
 )
 
 
-def cause_of(line: RequestLine) -> Cause:
-    """Return why a request did not end well."""
+def classify_cause(line: RequestLine) -> Cause:
+    """Return why a request was late or failed."""
     if line.end == "client gone":
-        return Cause.CLIENT_LEFT
+        return Cause.CLIENT_DISCONNECTED
     for _server, outcome, _at in line.tried:
-        found = _cause_of_outcome(outcome)
-        if found is not None:
-            return found
+        cause = _classify_outcome(outcome)
+        if cause is not None:
+            return cause
     if line.end == "no_server":
-        return Cause.NOBODY
+        return Cause.NO_CANDIDATE
     if line.end in ("timeout", "deadline_passed"):
-        return Cause.TIMEOUT
+        return Cause.REQUEST_TIMEOUT
     if line.expected is not None and line.expected > line.target:
-        return Cause.PLACED_LATE
+        return Cause.NO_TIMELY_ENGINE
     if line.first is not None and line.first > line.target:
-        return Cause.WAITED
+        return Cause.QUEUED_TOO_LONG
     if line.is_stream and line.longest_pause > line.pause_target:
-        return Cause.PAUSED
+        return Cause.STREAM_STALLED
     return Cause.OTHER
 
 
-def _cause_of_outcome(outcome: str) -> Cause | None:
-    for begins, cause in _OUTCOMES:
-        if outcome.startswith(begins):
+def _classify_outcome(outcome: str) -> Cause | None:
+    for prefix, cause in _CAUSES_BY_OUTCOME:
+        if outcome.startswith(prefix):
             return cause
-    return Cause.BROKEN_SERVER
+    return Cause.INVALID_RESPONSE
 
 
-def request_lines(text: Iterable[str]) -> Iterator[RequestLine]:
-    """Return the requests' lines of a log; whatever stands before the JSON is passed over."""
+def parse_request_lines(text: Iterable[str]) -> Iterator[RequestLine]:
+    """Yield the request lines of a log; any text before the JSON is skipped."""
     for line in text:
         start = line.find("{")
         if start < 0 or '"event":"request"' not in line:
@@ -121,34 +121,34 @@
         try:
             yield msgspec.json.decode(line[start:], type=RequestLine)
         except msgspec.MsgspecError:
-            # A line that was cut when its process was killed says nothing.
+            # Skips a line that was truncated when its process was killed.
             continue
 
 
-class Losses:
-    """Count requests by route, and those that did not end well by cause."""
+class FailureReport:
+    """Count requests by route, and late or failed ones by cause."""
 
     def __init__(self) -> None:
-        self.asked: Counter[str] = Counter()
-        self.lost: dict[str, Counter[Cause]] = {}
+        self.request_counts: Counter[str] = Counter()
+        self.failure_counts: dict[str, Counter[Cause]] = {}
         self.examples: dict[Cause, str] = {}
 
-    def add(self, line: RequestLine) -> Loss | None:
-        """Count one request; return the loss if it is one."""
-        self.asked[line.route] += 1
-        if line.is_good:
+    def add(self, line: RequestLine) -> FailedRequest | None:
+        """Count a request; return it with its cause if it was late or failed."""
+        self.request_counts[line.route] += 1
+        if line.is_successful:
             return None
-        cause = cause_of(line)
-        self.lost.setdefault(line.route, Counter())[cause] += 1
+        cause = classify_cause(line)
+        self.failure_counts.setdefault(line.route, Counter())[cause] += 1
         self.examples.setdefault(cause, line.request)
-        return Loss(line, cause)
+        return FailedRequest(line, cause)
 
-    def table(self) -> str:
-        """Return the counts as text, the most frequent cause of a route first."""
+    def to_text(self) -> str:
+        """Return the counts as text, the most frequent cause of each route first."""
         rows = []
-        for route, asked in sorted(self.asked.items()):
-            lost = self.lost.get(route, Counter())
-            rows.append(f"{route}: {asked} asked, {asked - lost.total()} well")
+        for route, asked in sorted(self.request_counts.items()):
+            lost = self.failure_counts.get(route, Counter())
+            rows.append(f"{route}: {asked} requests, {asked - lost.total()} ok")
             rows += [f"  {count:5}  {cause.value}" for cause, count in lost.most_common()]
         rows += [f"example: {cause.value}: {name}" for cause, name in self.examples.items()]
         return "\n".join(rows)
--- a/tests/analysis/test_losses.py
+++ b/tests/analysis/test_losses.py
@@ -1,12 +1,18 @@
-"""Tests of what a log says of requests that did not end well."""
+"""Tests of the causes of late and failed requests, as read from a log."""
 
 import pytest
 
-from siskinspoke.analysis.losses import Cause, Losses, RequestLine, cause_of, request_lines
+from siskinspoke.analysis.losses import (
+    Cause,
+    FailureReport,
+    RequestLine,
+    classify_cause,
+    parse_request_lines,
+)
 
 
 def line(**changes) -> RequestLine:
-    """Return the line of a short prompt that was served in time, with some fields changed."""
+    """Return the log line of a short prompt that was served in time, with changed fields."""
     fields = {
         "request": "r1",
         "route": "short",
@@ -24,44 +30,44 @@
 
 
 class TestCauses:
-    """The first thing that went wrong is the cause."""
+    """The cause of a request is the first failure in its line."""
 
     def test_good(self):
-        assert line().is_good
-        assert not line(first=301.0).is_good
-        assert not line(longest_pause=251.0).is_good
+        assert line().is_successful
+        assert not line(first=301.0).is_successful
+        assert not line(longest_pause=251.0).is_successful
 
     @pytest.mark.parametrize(
         ("changes", "cause"),
         [
-            ({"end": "client gone"}, Cause.CLIENT_LEFT),
-            ({"end": "no_server", "tried": []}, Cause.NOBODY),
-            ({"end": "timeout", "tried": []}, Cause.TIMEOUT),
-            ({"first": 400.0, "expected": 350.0}, Cause.PLACED_LATE),
-            ({"first": 400.0}, Cause.WAITED),
-            ({"longest_pause": 400.0}, Cause.PAUSED),
-            ({"tried": [("e1", "no connection", 50.0)]}, Cause.LOST_SERVER),
-            ({"tried": [("e1", "no answer in time", 200.0)]}, Cause.SILENT_SERVER),
-            ({"tried": [("e1", "refused with 503", 2.0)]}, Cause.BUSY_SERVER),
-            ({"tried": [("e1", "not HTTP", 2.0)]}, Cause.BROKEN_SERVER),
+            ({"end": "client gone"}, Cause.CLIENT_DISCONNECTED),
+            ({"end": "no_server", "tried": []}, Cause.NO_CANDIDATE),
+            ({"end": "timeout", "tried": []}, Cause.REQUEST_TIMEOUT),
+            ({"first": 400.0, "expected": 350.0}, Cause.NO_TIMELY_ENGINE),
+            ({"first": 400.0}, Cause.QUEUED_TOO_LONG),
+            ({"longest_pause": 400.0}, Cause.STREAM_STALLED),
+            ({"tried": [("e1", "no connection", 50.0)]}, Cause.SERVER_UNREACHABLE),
+            ({"tried": [("e1", "no answer in time", 200.0)]}, Cause.SERVER_TIMEOUT),
+            ({"tried": [("e1", "refused with 503", 2.0)]}, Cause.SERVER_OVERLOADED),
+            ({"tried": [("e1", "not HTTP", 2.0)]}, Cause.INVALID_RESPONSE),
         ],
     )
     def test_cause(self, changes, cause):
-        assert cause_of(line(**changes)) is cause
+        assert classify_cause(line(**changes)) is cause
 
 
 class TestTable:
-    """All requests are counted, and each loss has one cause."""
+    """All requests are counted, and each late or failed one has a single cause."""
 
     def test_adds_up(self):
-        losses = Losses()
+        losses = FailureReport()
         for item in (line(), line(first=400.0), line(end="client gone"), line(route="long")):
             losses.add(item)
-        assert losses.asked == {"short": 3, "long": 1}
-        assert losses.lost["short"].total() == 2
-        assert "short: 3 asked, 1 well" in losses.table()
+        assert losses.request_counts == {"short": 3, "long": 1}
+        assert losses.failure_counts["short"].total() == 2
+        assert "short: 3 requests, 1 ok" in losses.to_text()
 
-    def test_lines_of_other_kinds_and_torn_ones(self):
+    def test_skips_other_events_and_truncated_lines(self):
         text = [
             "12.5 entry-1 " + '{"event":"start"}',
             '{"event":"request","request":"r1","route":"a","end":"served","status":200,'
@@ -69,4 +75,4 @@
             '{"event":"request","request":"r2","rou',
             "not a line of ours",
         ]
-        assert [item.request for item in request_lines(text)] == ["r1"]
+        assert [item.request for item in parse_request_lines(text)] == ["r1"]
