--- a/siskinspoke/loadgen/__init__.py
+++ b/siskinspoke/loadgen/__init__.py
@@ -1,1 +1,1 @@
-"""The experiment tool: open-loop traffic, checked answers, histograms and a report."""
+"""Open-loop load generator that verifies responses and reports latency histograms."""
--- a/siskinspoke/loadgen/client.py
+++ b/siskinspoke/loadgen/client.py
@@ -1,4 +1,4 @@
-"""A caller: sends one request through the balancer's choice of entry VM and checks the answer."""
+"""A client that sends requests to entry VMs in turn and verifies the responses."""
 
 import itertools
 import random
@@ -19,7 +19,7 @@
 
 
 class Outcome(NamedTuple):
-    """What a caller saw; times in seconds from the moment the request was due."""
+    """The result of a request as seen by the client; times in seconds since it was due."""
 
     code: int
     status: int
@@ -35,7 +35,7 @@
 
 
 def prompt_text(customer: str, template: int, number: int, tokens: int, shared: float) -> str:
-    """Return a prompt whose first part is shared by requests of a customer's template."""
+    """Return a prompt that shares its prefix with other requests of the customer's template."""
     length = tokens * CHARACTERS_PER_TOKEN
     head_length = int(length * shared)
     head = f"<{customer}.{template}>"
@@ -46,18 +46,18 @@
 
 
 def idempotency_key(name: str, lifetime_seconds: float = 300.0) -> str:
-    """Return a key that expires after ``lifetime_seconds``."""
+    """Return an idempotency key that expires after ``lifetime_seconds``."""
     return f"{int((time.time() + lifetime_seconds) * 1000):013d}-{name}"
 
 
 class Caller:
-    """Own an HTTP client and the list of entry VMs behind the balancer."""
+    """An HTTP client with the list of entry VMs behind the load balancer."""
 
     def __init__(self, entries: Sequence[Address], seed: int = 0):
         self._entries = list(entries)
         self._rng = random.Random(seed)
         self._client = make_client()
-        self._turns = itertools.count(self._rng.randrange(len(entries)))
+        self._entry_counter = itertools.count(self._rng.randrange(len(entries)))
 
     async def __aenter__(self) -> "Caller":
         await self._client.__aenter__()
@@ -67,13 +67,13 @@
         await self._client.__aexit__(*details)
 
     def next_entry(self) -> Address:
-        """Return the entry VM of the balancer's choice: one after the other."""
-        return self._entries[next(self._turns) % len(self._entries)]
+        """Return the next entry VM, round-robin like the load balancer."""
+        return self._entries[next(self._entry_counter) % len(self._entries)]
 
     async def post(
         self, entry: Address, path: str, key: str, document, headers: dict | None = None
     ) -> httpx.Response:
-        """Send one JSON request and read the whole answer."""
+        """Send a JSON request and read the complete response."""
         host, port = entry
         return await self._client.post(
             f"http://{host}:{port}{path}",
@@ -90,7 +90,7 @@
         timeout_ms: int = 10_000,
         entry: Address | None = None,
     ) -> Outcome:
-        """Call a plain service once."""
+        """Send a single call to a plain service."""
         due = trio.current_time()
         headers = {"Idempotency-Key": idempotency} if idempotency else {}
         document = {"input": text, "timeout_ms": timeout_ms}
@@ -103,9 +103,9 @@
                 headers,
             )
         except httpx.HTTPError as error:
-            return _broken(error, due, 0)
+            return _connection_failure(error, due, 0)
         if response.status_code != 200:
-            return _failed(response.status_code, response.content, due, 0)
+            return _error_response(response.status_code, response.content, due, 0)
         answer = msgspec.json.decode(response.content)
         whole = answer["answer"].get("result") == f"done {answer['id']}"
         elapsed = trio.current_time() - due
@@ -125,8 +125,8 @@
         due: float | None = None,
         resume: bool = True,
     ) -> Outcome:
-        """Stream one completion; read on at another entry VM if the first one dies."""
-        reading = _Reading(due or trio.current_time(), len(prompt) // CHARACTERS_PER_TOKEN)
+        """Stream a completion; resume at the next entry VM if the connection fails."""
+        progress = _StreamProgress(due or trio.current_time(), len(prompt) // CHARACTERS_PER_TOKEN)
         headers = {"Idempotency-Key": idempotency} if idempotency else {}
         document = {
             "model": model,
@@ -138,18 +138,19 @@
         path = "/v1/completions"
         for _ in range(4):
             outcome = await self._stream(
-                entry or self.next_entry(), path, customer_key, document, headers, reading
+                entry or self.next_entry(), path, customer_key, document, headers, progress
             )
             if outcome is not None:
                 return outcome._replace(
-                    whole=outcome.code == 0 and reading.whole(max_tokens), resumed=reading.resumed
+                    whole=outcome.code == 0 and progress.has_expected_text(max_tokens),
+                    resumed=progress.resumed,
                 )
-            if not resume or not reading.token:
+            if not resume or not progress.resume_token:
                 break
-            reading.resumed += 1
+            progress.resumed += 1
             entry, path, headers = None, "/v1/streams/resume", {}
-            document = {"resume_token": reading.token, "offset": reading.offset}
-        return _broken(None, reading.due, reading.prompt_tokens)
+            document = {"resume_token": progress.resume_token, "offset": progress.offset}
+        return _connection_failure(None, progress.due, progress.prompt_tokens)
 
     async def _stream(
         self,
@@ -158,9 +159,9 @@
         key: str,
         document: dict,
         headers: dict,
-        reading: "_Reading",
+        progress: "_StreamProgress",
     ) -> Outcome | None:
-        """Read one stream; None means that it broke off and may be resumed."""
+        """Read a stream; None means that it was interrupted and may be resumed."""
         host, port = entry
         try:
             async with self._client.stream(
@@ -171,11 +172,11 @@
             ) as response:
                 if response.status_code != 200:
                     content = await response.aread()
-                    return _failed(
-                        response.status_code, content, reading.due, reading.prompt_tokens
+                    return _error_response(
+                        response.status_code, content, progress.due, progress.prompt_tokens
                     )
                 async for line in response.aiter_lines():
-                    outcome = reading.feed(line)
+                    outcome = progress.feed(line)
                     if outcome is not None:
                         return outcome
         except httpx.HTTPError:
@@ -183,21 +184,21 @@
         return None
 
 
-class _Reading:
-    """Put together what a caller has received."""
+class _StreamProgress:
+    """Collect the received part of a stream across connections."""
 
     def __init__(self, due: float, prompt_tokens: int):
         self.due = due
         self.prompt_tokens = prompt_tokens
-        self.token = ""
+        self.resume_token = ""
         self.request_id = ""
         self.offset = 0
         self.texts: list[str] = []
-        self.first: float | None = None
+        self.first_token: float | None = None
         self.resumed = 0
 
     def feed(self, line: str) -> Outcome | None:
-        """Take one line of the event stream; return the outcome at its end."""
+        """Process a line of the event stream; return the outcome at its end."""
         if not line.startswith("data: "):
             return None
         data = line[6:]
@@ -208,36 +209,36 @@
             return self._outcome(ResultCode(event["error"]["code"]), event["error"]["run"])
         self.request_id = event["id"]
         if "resume_token" in event:
-            self.token = event["resume_token"]
+            self.resume_token = event["resume_token"]
             return None
         text = event["choices"][0]["text"]
         if text and event["offset"] == self.offset:
-            if self.first is None:
-                self.first = trio.current_time() - self.due
+            if self.first_token is None:
+                self.first_token = trio.current_time() - self.due
             self.texts.append(text)
             self.offset += event["tokens"]
         return None
 
-    def whole(self, max_tokens: int) -> bool:
-        """Tell whether the text is exactly the answer of this request."""
+    def has_expected_text(self, max_tokens: int) -> bool:
+        """Whether the received text is exactly the expected response."""
         return "".join(self.texts) == expected_text(self.request_id, max_tokens)
 
     def _outcome(self, code: ResultCode, run: str) -> Outcome:
         total = trio.current_time() - self.due
         return Outcome(
-            int(code), 200, run, self.request_id, self.prompt_tokens, self.first, total, False
+            int(code), 200, run, self.request_id, self.prompt_tokens, self.first_token, total, False
         )
 
 
-def _broken(error: Exception | None, due: float, prompt_tokens: int) -> Outcome:
-    """Return the outcome of a connection that broke: only the caller's side knows of it."""
+def _connection_failure(error: Exception | None, due: float, prompt_tokens: int) -> Outcome:
+    """Return the outcome of a failed connection, as far as the client knows it."""
     not_sent = isinstance(error, httpx.ConnectError | httpx.ConnectTimeout)
     run = "not_run" if not_sent else "unknown"
     elapsed = trio.current_time() - due
     return Outcome(-1, 0, run, "", prompt_tokens, None, elapsed, False)
 
 
-def _failed(status: int, content: bytes, due: float, prompt_tokens: int) -> Outcome:
+def _error_response(status: int, content: bytes, due: float, prompt_tokens: int) -> Outcome:
     error = msgspec.json.decode(content)["error"]
     return Outcome(
         error["code"],
--- a/siskinspoke/loadgen/mixes.py
+++ b/siskinspoke/loadgen/mixes.py
@@ -1,4 +1,4 @@
-"""Seeded mixes of requests like those of the two users."""
+"""Seeded traffic mixes modelled on the two example sites."""
 
 import random
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 
 
 class LengthBand(NamedTuple):
-    """A share of requests whose prompts lie between two lengths, in tokens."""
+    """A share of requests with its ranges of prompt and output lengths, in tokens."""
 
     share: float
     low: int
@@ -16,10 +16,10 @@
 
 
 class Mix(NamedTuple):
-    """What one user's traffic looks like.
+    """The traffic of one site.
 
-    ``shared`` is the part of a prompt that customers reuse, ``large`` the share of traffic of
-    the few large customers, ``calls`` the share of calls to the plain service.
+    ``shared`` is the fraction of a prompt that a customer's requests have in common, ``large`` the
+    share of traffic from the few large customers, and ``calls`` the share of plain service calls.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request of the open-loop schedule; ``at`` is seconds from the start."""
+    """A request in the open-loop schedule; ``at`` is in seconds since the start."""
 
     at: float
     number: int
@@ -71,24 +71,24 @@
 
 
 def draw_length(mix: Mix, rng: random.Random) -> tuple[int, int]:
-    """Return prompt and output tokens of one request."""
+    """Return random prompt and output lengths, in tokens."""
     weights = [band.share for band in mix.bands]
     band = rng.choices(mix.bands, weights)[0]
-    # Uniform in the logarithm, so that a band is not all near its upper end.
+    # Log-uniform, so that lengths are not concentrated near the upper bound of a band.
     ratio = band.high / band.low
     prompt = int(band.low * ratio ** rng.random())
     return prompt, rng.randint(band.low_output, band.high_output)
 
 
 def draw_customer(mix: Mix, rng: random.Random) -> str:
-    """Return a customer; a few large ones send most of the traffic."""
+    """Return a random customer; a few large ones send most of the traffic."""
     if rng.random() < mix.large:
         return mix.customers[rng.randrange(mix.large_customers)]
     return rng.choice(mix.customers)
 
 
 def arrivals(mix: Mix, rate: float, count: int, seed: int) -> Iterator[Arrival]:
-    """Yield a Poisson schedule of ``count`` requests at ``rate`` a second."""
+    """Yield a Poisson schedule of ``count`` requests at ``rate`` per second."""
     rng = random.Random(seed)
     at = 0.0
     for number in range(count):
@@ -106,6 +106,6 @@
 
 
 def mean_prompt_tokens(mix: Mix, seed: int = 1, samples: int = 20_000) -> float:
-    """Return the mean prompt length of a mix, by sampling."""
+    """Estimate the mean prompt length of a mix by sampling."""
     rng = random.Random(seed)
     return sum(draw_length(mix, rng)[0] for _ in range(samples)) / samples
--- a/siskinspoke/loadgen/run.py
+++ b/siskinspoke/loadgen/run.py
@@ -1,7 +1,7 @@
-"""Send an open-loop schedule and sum up what callers saw.
+"""Run an open-loop schedule and summarize the outcomes.
 
-Requests leave when they are due, however slow the answers are, and times count from then: a
-slow system cannot hide behind a tool that waits for it.
+Requests are sent when they are due, independently of earlier responses, and latencies are measured
+from the due time.  This avoids coordinated omission: a slow system does not slow down the load.
 """
 
 from collections import Counter
@@ -13,12 +13,12 @@
 from siskinspoke.loadgen.client import Caller, Outcome, idempotency_key, prompt_text
 from siskinspoke.loadgen.mixes import Arrival, Mix, arrivals
 
-LOWEST_US, HIGHEST_US, DIGITS = 100, 3_600_000_000, 3
-LENGTH_BOUNDS = (2_000, 8_000, 32_000, 100_000, 400_000, 1_000_001)
+HISTOGRAM_MIN_US, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS = 100, 3_600_000_000, 3
+LENGTH_BOUNDS_TOKENS = (2_000, 8_000, 32_000, 100_000, 400_000, 1_000_001)
 
 
 class LoadPlan(NamedTuple):
-    """What to send; ``key_of`` is the pattern of customers' keys."""
+    """The traffic to send; ``key_of`` is the pattern of customers' keys."""
 
     mix: Mix
     model: str
@@ -31,7 +31,7 @@
 
 
 class LoadReport:
-    """Sum up outcomes: histograms of time to first token by length, and counts by code."""
+    """Histograms of time to first token by prompt length, and counts by result code."""
 
     def __init__(self) -> None:
         self.codes: Counter[str] = Counter()
@@ -39,22 +39,23 @@
         self.broken = 0
         self.calls = 0
         self._by_length = {
-            bound: HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS) for bound in LENGTH_BOUNDS
+            bound: HdrHistogram(HISTOGRAM_MIN_US, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
+            for bound in LENGTH_BOUNDS_TOKENS
         }
 
     def add(self, outcome: Outcome) -> None:
-        """Take in one outcome."""
+        """Record an outcome."""
         self.codes[str(outcome.code)] += 1
         self.whole += outcome.whole
         self.broken += outcome.code == 0 and not outcome.whole
         if outcome.prompt_tokens == 0:
             self.calls += 1
         elif outcome.first_token is not None:
-            bound = next(b for b in LENGTH_BOUNDS if outcome.prompt_tokens <= b)
+            bound = next(b for b in LENGTH_BOUNDS_TOKENS if outcome.prompt_tokens <= b)
             self._by_length[bound].record_value(int(outcome.first_token * 1e6))
 
     def rows(self) -> list[dict]:
-        """Return count and percentiles of time to first token, by length, in milliseconds."""
+        """Return counts and percentiles of time to first token (ms) by prompt length."""
         return [
             {
                 "up_to_tokens": bound,
@@ -68,7 +69,7 @@
         ]
 
     def to_document(self) -> dict:
-        """Return the report for programs."""
+        """Return the report as a JSON-serializable document."""
         return {
             "whole": self.whole,
             "broken": self.broken,
@@ -78,7 +79,7 @@
         }
 
     def to_text(self) -> str:
-        """Return the report for people."""
+        """Return the report as text."""
         lines = [f"{'prompts up to':>14} {'count':>7} {'p50 ms':>9} {'p95 ms':>9} {'p99 ms':>9}"]
         lines += [
             f"{row['up_to_tokens']:>14,} {row['count']:>7} {row['p50_ms']:>9.0f} "
@@ -91,17 +92,17 @@
 
 
 async def run_load(plan: LoadPlan, entries: list[tuple[str, int]], progress) -> LoadReport:
-    """Send every request of a plan when it is due and return the report."""
+    """Send every request of a plan at its due time and return the report."""
     report = LoadReport()
     async with Caller(entries, plan.seed) as caller, trio.open_nursery() as nursery:
         began = trio.current_time()
 
-        async def one(arrival: Arrival) -> None:
+        async def send_one(arrival: Arrival) -> None:
             report.add(await _send(caller, plan, arrival, began + arrival.at))
 
         for arrival in arrivals(plan.mix, plan.rate, plan.count, plan.seed):
             await trio.sleep_until(began + arrival.at)
-            nursery.start_soon(one, arrival)
+            nursery.start_soon(send_one, arrival)
             if arrival.number % 100 == 99:
                 progress(arrival.number + 1, plan.count)
     return report
