--- a/siskinspoke/management/commands/standin_engine.py
+++ b/siskinspoke/management/commands/standin_engine.py
@@ -11,13 +11,13 @@
 FLAGS = flags.FLAGS
 
 flags.DEFINE_integer("memory_tokens", 400_000, "KV memory of the engine, in tokens.")
-flags.DEFINE_float("prefill_ms_per_token", 0.02, "Prefill time of one token.")
-flags.DEFINE_float("step_base_ms", 6.0, "Time of an empty step.")
-flags.DEFINE_float("decode_ms_per_sequence", 0.1, "Decode time of one sequence in a step.")
-flags.DEFINE_integer("chunk_tokens", 1_024, "Tokens of one step at most.")
-flags.DEFINE_float("order_seconds", 0.0, "Time that an order takes.")
-flags.DEFINE_float("slow", 1.0, "Factor by which this engine is slower than it says.")
-flags.DEFINE_string("deadly_text", "", "Text in a prompt at whose first token the engine ends.")
+flags.DEFINE_float("prefill_ms_per_token", 0.02, "Prefill time per token.")
+flags.DEFINE_float("step_base_ms", 6.0, "Duration of an empty step.")
+flags.DEFINE_float("decode_ms_per_sequence", 0.1, "Decode time per sequence in a step.")
+flags.DEFINE_integer("chunk_tokens", 1_024, "Maximum number of tokens per step.")
+flags.DEFINE_float("order_seconds", 0.0, "Duration of an order.")
+flags.DEFINE_float("slow", 1.0, "Slowdown factor relative to the other parameters.")
+flags.DEFINE_string("deadly_text", "", "Prompt text that crashes the engine at the first token.")
 
 
 def handle(_arguments: list[str]) -> int:
@@ -29,9 +29,17 @@
         FLAGS.decode_ms_per_sequence,
         FLAGS.chunk_tokens,
     )
-    who = identity()
-    server = EngineServer(who, parameters, FLAGS.slow, FLAGS.deadly_text)
+    engine_identity = identity()
+    server = EngineServer(engine_identity, parameters, FLAGS.slow, FLAGS.deadly_text)
     server.order_seconds = FLAGS.order_seconds
     app = engine_app(server)
-    trio.run(run_standin, app, who, announce_addresses(), read_key(), server.report, server.run)
+    trio.run(
+        run_standin,
+        app,
+        engine_identity,
+        announce_addresses(),
+        read_key(),
+        server.make_announcement,
+        server.run,
+    )
     return 0
--- a/siskinspoke/management/commands/standin_service.py
+++ b/siskinspoke/management/commands/standin_service.py
@@ -9,14 +9,21 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_float("delay_ms", 20.0, "Time one call takes.")
-flags.DEFINE_string("run_log", "", "File that records each call that ran.")
+flags.DEFINE_float("delay_ms", 20.0, "Duration of a call.")
+flags.DEFINE_string("run_log", "", "File in which every call that ran is recorded.")
 
 
 def handle(_arguments: list[str]) -> int:
     """Run the service until SIGTERM."""
-    who = identity()
-    server = ServiceServer(who, FLAGS.delay_ms, FLAGS.run_log)
+    engine_identity = identity()
+    server = ServiceServer(engine_identity, FLAGS.delay_ms, FLAGS.run_log)
     app = service_app(server)
-    trio.run(run_standin, app, who, announce_addresses(), read_key(), server.report)
+    trio.run(
+        run_standin,
+        app,
+        engine_identity,
+        announce_addresses(),
+        read_key(),
+        server.make_announcement,
+    )
     return 0
--- a/siskinspoke/management/standins.py
+++ b/siskinspoke/management/standins.py
@@ -1,4 +1,4 @@
-"""Flags that the commands of the stand-ins share."""
+"""Flags common to the stand-in commands."""
 
 import time
 from pathlib import Path
@@ -12,22 +12,22 @@
 flags.DEFINE_string("server", "server-1", "Name of the backend server.")
 flags.DEFINE_string("domain", "", "Failure domain of the backend server.")
 flags.DEFINE_string("host", "127.0.0.1", "Address to listen on.")
-flags.DEFINE_string("advertise_host", "", "Address that others use, if not --host.")
+flags.DEFINE_string("advertise_host", "", "Address to announce, if different from --host.")
 flags.DEFINE_integer("port", 0, "Port to listen on.")
-flags.DEFINE_string("service", "", "Service that the server offers.")
-flags.DEFINE_list("announce", [], "Addresses HOST:PORT behind the balancer.")
-flags.DEFINE_bool("fencing", True, "Whether orders with an old fencing number are refused.")
-flags.DEFINE_string("key_file", "", "File with the key that seals announcements.")
+flags.DEFINE_string("service", "", "Service that the server provides.")
+flags.DEFINE_list("announce", [], "Entry VMs behind the load balancer, as HOST:PORT.")
+flags.DEFINE_bool("fencing", True, "Whether to reject orders with an outdated fencing token.")
+flags.DEFINE_string("key_file", "", "File with the key that authenticates announcements.")
 
 
 def announce_addresses() -> list[tuple[str, int]]:
-    """Return the addresses that announcements go to."""
+    """Return the destination addresses of announcements."""
     pairs = (address.rsplit(":", 1) for address in FLAGS.announce)
     return [(host, int(port)) for host, port in pairs]
 
 
 def identity() -> EngineIdentity:
-    """Return who the stand-in is; its incarnation is the time of its start."""
+    """Return the identity of the stand-in; its incarnation is its start time in milliseconds."""
     return EngineIdentity(
         FLAGS.server,
         FLAGS.domain,
@@ -41,5 +41,5 @@
 
 
 def read_key() -> bytes:
-    """Return the key that seals announcements."""
+    """Return the key that authenticates announcements."""
     return Path(FLAGS.key_file).read_text().strip().encode()
--- a/siskinspoke/standins/__init__.py
+++ b/siskinspoke/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems: model engines, plain services, the balancer."""
+"""Simulated external systems for tests: model engines, plain services and a load balancer."""
--- a/siskinspoke/standins/announcer.py
+++ b/siskinspoke/standins/announcer.py
@@ -1,4 +1,4 @@
-"""Announce a stand-in to the entry VMs of its failure domain, as the balancer would spread it."""
+"""Announce a stand-in to the entry VMs of its failure domain, as through the load balancer."""
 
 import random
 from collections.abc import Callable
@@ -8,37 +8,42 @@
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.transport.datagrams import DatagramPort
 
-ANNOUNCE_SECONDS = 0.5
-FAREWELLS = 3
+ANNOUNCE_INTERVAL_SECONDS = 0.5
+LEAVE_REPEATS = 3
 
-Report = Callable[[int, bool], Announcement]
+AnnouncementFactory = Callable[[int, bool], Announcement]
 
 
 class Announcer:
-    """Own the announcements of one backend server."""
-
-    def __init__(self, port: DatagramPort, entries: list[tuple[str, int]], report: Report):
+    """Send the announcements of one backend server."""
+
+    def __init__(
+        self,
+        port: DatagramPort,
+        entries: list[tuple[str, int]],
+        make_announcement: AnnouncementFactory,
+    ):
         self._port = port
         self._entries = entries
-        self._report = report
+        self._make_announcement = make_announcement
         self._seq = 0
         self.leaving = False
 
     async def run(self) -> None:
-        """Announce at a steady pace, to one entry VM at a time."""
+        """Announce at a jittered interval, to one entry VM at a time."""
         while True:
             await self.announce_once()
-            await trio.sleep(ANNOUNCE_SECONDS * random.uniform(0.9, 1.1))
+            await trio.sleep(ANNOUNCE_INTERVAL_SECONDS * random.uniform(0.9, 1.1))
 
     async def announce_once(self) -> None:
-        """Send one announcement to an entry VM of the balancer's choice."""
+        """Send an announcement to a random entry VM, as the load balancer would."""
         self._seq += 1
         host, port = random.choice(self._entries)
-        await self._port.send(self._report(self._seq, self.leaving), host, port)
+        await self._port.send(self._make_announcement(self._seq, self.leaving), host, port)
 
     async def leave(self) -> None:
-        """Say that the server leaves, several times, since datagrams get lost."""
+        """Announce that the server is leaving, repeatedly since datagrams may be lost."""
         self.leaving = True
-        for _ in range(FAREWELLS):
+        for _ in range(LEAVE_REPEATS):
             await self.announce_once()
-            await trio.sleep(ANNOUNCE_SECONDS / 5)
+            await trio.sleep(ANNOUNCE_INTERVAL_SECONDS / 5)
--- a/siskinspoke/standins/engine_server.py
+++ b/siskinspoke/standins/engine_server.py
@@ -1,4 +1,4 @@
-"""Run an engine model in real time behind the backend protocol."""
+"""HTTP server that runs an engine model in real time behind the backend protocol."""
 
 import math
 import os
@@ -16,15 +16,15 @@
 from siskinspoke.standins.engine_model import Attempt, AttemptKey, EngineModel, EngineParameters
 from siskinspoke.transport.http import json_response, make_app
 
-RANKS = 16
-MAX_BODY = 64_000_000
-IDLE_SECONDS = 0.05
-# Exit code of an engine that a deadly prompt has ended.
-DEADLY_EXIT = 70
+PRIORITY_RANKS = 16
+MAX_BODY_BYTES = 64_000_000
+IDLE_POLL_SECONDS = 0.05
+# Exit code after a prompt that crashes the engine.
+CRASH_EXIT_CODE = 70
 
 
 class EngineIdentity(NamedTuple):
-    """Who a stand-in engine is and where it listens."""
+    """Identity and addresses of a stand-in server."""
 
     server: str
     failure_domain: str
@@ -37,22 +37,22 @@
 
 
 def token_text(request_id: str, index: int) -> str:
-    """Return the text of one token; a function of the request, so that callers can check it."""
+    """Return the text of one token, derived from the request so that clients can verify it."""
     return f"{xxhash.xxh32_intdigest(f'{request_id}:{index}'.encode()):08x} "
 
 
 def expected_text(request_id: str, tokens: int) -> str:
-    """Return the whole answer that a request must receive."""
+    """Return the complete response expected for a request."""
     return "".join(token_text(request_id, index) for index in range(tokens))
 
 
 def now_ms() -> float:
-    """Return the monotonic clock in milliseconds."""
+    """Return the monotonic time in milliseconds."""
     return time.monotonic() * 1000
 
 
 class EngineServer:
-    """Own an engine model, its clock and its readers."""
+    """Run an engine model and stream its output to readers."""
 
     def __init__(
         self,
@@ -63,60 +63,60 @@
     ):
         self.identity = identity
         self._deadly_text = deadly_text
-        self._deadly: list[Attempt] = []
+        self._crashing_attempts: list[Attempt] = []
         self.model = EngineModel(parameters)
         self.fence = 0
         self.orders: list[dict] = []
         self.order_seconds = 0.0
         self.began: dict[str, int] = {}
-        self._slow = slow
-        self._tick = trio.Event()
-        self._work = trio.Event()
+        self._slowdown = slow
+        self._step_finished = trio.Event()
+        self._work_available = trio.Event()
 
     async def run(self) -> None:
-        """Compute steps for as long as there is work."""
+        """Run steps while there is work, and wait for work otherwise."""
         while True:
             plan = self.model.begin_step(now_ms())
             if plan is None:
-                self._work = trio.Event()
-                with trio.move_on_after(IDLE_SECONDS):
-                    await self._work.wait()
+                self._work_available = trio.Event()
+                with trio.move_on_after(IDLE_POLL_SECONDS):
+                    await self._work_available.wait()
                 continue
-            await trio.sleep(plan.duration_ms * self._slow / 1000)
+            await trio.sleep(plan.duration_ms * self._slowdown / 1000)
             self.model.finish_step(plan, now_ms())
-            self._announce_tick()
-            if any(attempt.emitted for attempt in self._deadly):
-                # As a process ends that the system kills: nothing is closed, nobody is told.
-                os._exit(DEADLY_EXIT)
-
-    def _announce_tick(self) -> None:
-        tick, self._tick = self._tick, trio.Event()
-        tick.set()
-
-    def report(self, seq: int, leaving: bool) -> Announcement:
-        """Return the announcement of this moment."""
-        who, model = self.identity, self.model
+            self._notify_readers()
+            if any(attempt.emitted for attempt in self._crashing_attempts):
+                # Exits as if killed: nothing is closed and no one is notified.
+                os._exit(CRASH_EXIT_CODE)
+
+    def _notify_readers(self) -> None:
+        step_finished, self._step_finished = self._step_finished, trio.Event()
+        step_finished.set()
+
+    def make_announcement(self, seq: int, leaving: bool) -> Announcement:
+        """Return an announcement of the current state."""
+        identity, model = self.identity, self.model
         return Announcement(
-            who.server,
-            who.incarnation,
+            identity.server,
+            identity.incarnation,
             seq,
-            who.failure_domain,
-            who.advertised_host or who.host,
-            who.port,
+            identity.failure_domain,
+            identity.advertised_host or identity.host,
+            identity.port,
             "model",
-            who.service,
+            identity.service,
             leaving,
-            who.fencing,
+            identity.fencing,
             model.parameters.memory_tokens,
             model.free_tokens,
             model.running,
-            model.queued(RANKS),
-            model.parameters.prefill_rate / self._slow,
+            model.queued(PRIORITY_RANKS),
+            model.parameters.prefill_rate / self._slowdown,
             model.accepted,
         )
 
     def start(self, body: GenerateRequest) -> Attempt | None:
-        """Start an attempt, or return the one that runs already."""
+        """Start an attempt, or return it if it is already running; None if it is refused."""
         key = AttemptKey(body["request"], body["attempt"])
         prompt = body["prompt"]
         attempt = Attempt(
@@ -132,17 +132,17 @@
         if not self.model.start(attempt, now_ms()):
             return None
         self.began[key.request] = self.began.get(key.request, 0) + 1
-        self._work.set()
+        self._work_available.set()
         if self._deadly_text and self._deadly_text in prompt:
-            self._deadly.append(self.model.attempts[key])
+            self._crashing_attempts.append(self.model.attempts[key])
         return self.model.attempts[key]
 
     async def stream(self, attempt: Attempt, offset: int):
-        """Yield the chunks of an attempt from ``offset`` on, as lines of JSON."""
+        """Yield the chunks of an attempt from ``offset`` on, as newline-delimited JSON."""
         attempt.readers += 1
         try:
             while True:
-                tick = self._tick
+                step_finished = self._step_finished
                 if offset < attempt.emitted:
                     text = "".join(
                         token_text(attempt.key.request, index)
@@ -152,12 +152,12 @@
                     offset = attempt.emitted
                 if not attempt.active:
                     break
-                await tick.wait()
+                await step_finished.wait()
             if attempt.emitted >= attempt.max_tokens:
                 yield self._line(attempt, offset, 0, "", True)
         finally:
             attempt.readers -= 1
-            attempt.silent_since = now_ms()
+            attempt.unread_since = now_ms()
 
     def _line(self, attempt: Attempt, offset: int, tokens: int, text: str, done: bool) -> bytes:
         chunk = Chunk(*attempt.key, self.identity.incarnation, offset, tokens, text, done)
@@ -166,7 +166,7 @@
 
 def engine_app(server: EngineServer):
     """Return the HTTP application of a stand-in engine."""
-    app = make_app("engine", MAX_BODY, 60)
+    app = make_app("engine", MAX_BODY_BYTES, 60)
     model = server.model
 
     @app.post("/v1/generate")
@@ -198,7 +198,7 @@
         body = msgspec.json.decode(await request.get_data(), type=AttemptRequest)
         key = AttemptKey(body["request"], body["attempt"])
         state = model.cancel(key, now_ms(), body.get("unless_began", False))
-        server._announce_tick()
+        server._notify_readers()
         return json_response({"state": state, "incarnation": server.identity.incarnation})
 
     @app.post("/v1/reserve")
--- a/siskinspoke/standins/service_server.py
+++ b/siskinspoke/standins/service_server.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service whose calls may not be repeated; it logs what ran."""
+"""A stand-in plain service with non-idempotent calls, which it logs."""
 
 import time
 from pathlib import Path
@@ -12,11 +12,11 @@
 from siskinspoke.standins.engine_server import EngineIdentity
 from siskinspoke.transport.http import json_response, make_app
 
-MAX_BODY = 16_000_000
+MAX_BODY_BYTES = 16_000_000
 
 
 class ServiceServer:
-    """Own the record of what ran, in memory and, where a file is given, on disk."""
+    """Record the calls that ran, in memory and optionally in a file."""
 
     def __init__(self, identity: EngineIdentity, delay_ms: float, run_log: str = ""):
         self.identity = identity
@@ -29,7 +29,7 @@
         self._run_log = Path(run_log) if run_log else None
 
     def begin(self, request_id: str, attempt: int, subject: str) -> bool:
-        """Record that a call runs; False if a tombstone forbids it."""
+        """Record the start of a call; False if it was cancelled before."""
         if (request_id, attempt) in self.tombstones:
             return False
         self.accepted += 1
@@ -40,7 +40,7 @@
         return True
 
     def cancel(self, request_id: str, attempt: int) -> str:
-        """Answer what is known of a call; one that never began never will."""
+        """Return the state of a call; one that has not begun leaves a tombstone."""
         key = (request_id, attempt)
         if key in self.finished:
             return CancelState.FINISHED
@@ -49,20 +49,20 @@
         self.tombstones.add(key)
         return CancelState.NEVER_BEGAN
 
-    def report(self, seq: int, leaving: bool) -> Announcement:
-        """Return the announcement of this moment."""
-        who = self.identity
+    def make_announcement(self, seq: int, leaving: bool) -> Announcement:
+        """Return an announcement of the current state."""
+        identity = self.identity
         return Announcement(
-            who.server,
-            who.incarnation,
+            identity.server,
+            identity.incarnation,
             seq,
-            who.failure_domain,
-            who.advertised_host or who.host,
-            who.port,
+            identity.failure_domain,
+            identity.advertised_host or identity.host,
+            identity.port,
             "plain",
-            who.service,
+            identity.service,
             leaving,
-            who.fencing,
+            identity.fencing,
             0,
             0,
             self.running,
@@ -74,7 +74,7 @@
 
 def service_app(server: ServiceServer):
     """Return the HTTP application of a stand-in plain service."""
-    app = make_app("service", MAX_BODY, 60)
+    app = make_app("service", MAX_BODY_BYTES, 60)
 
     @app.post("/v1/call")
     async def call() -> Response:
@@ -82,7 +82,7 @@
         if not server.begin(body["request"], body["attempt"], body.get("subject", "")):
             return json_response({"refused": "cancelled"}, 409)
         server.running += 1
-        # What a service has begun, like a letter in the post, goes on when its caller is gone.
+        # A call that has begun continues after its client disconnects.
         with trio.CancelScope(shield=True):
             await trio.sleep(server.delay_seconds)
         server.running -= 1
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in engine: memory, priorities, leases, tombstones."""
+"""Tests of the stand-in engine: memory, priorities, leases and tombstones."""
 
 from siskinspoke.protocol.engine import CancelState
 from siskinspoke.standins.engine_model import Attempt, AttemptKey, EngineModel, EngineParameters
@@ -7,28 +7,28 @@
 
 
 def model():
-    """Return a small engine."""
+    """Return an engine with little memory."""
     return EngineModel(EngineParameters(memory_tokens=MEMORY))
 
 
 def attempt(name, prompt=1_000, output=4, priority=0, **options):
-    """Return an attempt that somebody reads."""
+    """Return an attempt with a reader."""
     return Attempt(AttemptKey(name, 1), prompt, output, priority, [], readers=1, **options)
 
 
 def run(engine, now=0.0):
-    """Run steps until nothing is left and return the names in the order of first tokens."""
-    firsts = []
+    """Run steps until there is no work; return the names in the order of their first tokens."""
+    first_token_order = []
     while (plan := engine.begin_step(now)) is not None:
         now += plan.duration_ms
         for item in engine.finish_step(plan, now):
-            if item.key.request not in firsts:
-                firsts.append(item.key.request)
-    return firsts
+            if item.key.request not in first_token_order:
+                first_token_order.append(item.key.request)
+    return first_token_order
 
 
 class TestOrder:
-    """Who computes first."""
+    """The order in which attempts are computed."""
 
     def test_lower_priority_number_goes_first(self):
         engine = model()
@@ -36,7 +36,7 @@
         engine.start(attempt("soon", 3_000, priority=1), 0)
         assert run(engine) == ["soon", "late"]
 
-    def test_one_that_does_not_fit_waits(self):
+    def test_attempt_waits_until_it_fits_into_memory(self):
         engine = model()
         engine.start(attempt("first", 9_000), 0)
         engine.start(attempt("second", 9_000), 0)
@@ -45,7 +45,7 @@
 
 
 class TestMemory:
-    """Whatever holds memory has an owner and a lease."""
+    """Held memory is released when its lease expires."""
 
     def test_unread_attempt_ends_with_its_lease(self):
         engine = model()
@@ -63,8 +63,8 @@
         engine.expire(100)
         assert engine.reserve("q", "entry", 8_000, 100, 101)
 
-    def test_thawed_owner_cannot_use_a_lapsed_reservation(self):
-        """A VM freezes with a reservation, the lease runs out, and it dispatches when it thaws."""
+    def test_resumed_owner_cannot_use_an_expired_reservation(self):
+        """A VM is suspended until its reservation expires, and dispatches when it resumes."""
         engine = model()
         engine.reserve("r", "entry", 8_000, 100, 0)
         engine.expire(200)
@@ -72,14 +72,14 @@
 
 
 class TestCancel:
-    """A cancel may come before the start that it cancels."""
+    """A cancellation may arrive before the start of its attempt."""
 
-    def test_tombstone_forbids_the_start(self):
+    def test_tombstone_prevents_the_start(self):
         engine = model()
         assert engine.cancel(AttemptKey("r", 1), 0) == CancelState.NEVER_BEGAN
         assert not engine.start(attempt("r"), 1)
 
-    def test_question_leaves_a_running_attempt_alone(self):
+    def test_unless_began_keeps_a_running_attempt(self):
         engine = model()
         engine.start(attempt("r"), 0)
         state = engine.cancel(AttemptKey("r", 1), 1, unless_began=True)
