--- a/siskinspoke/management/__init__.py
+++ b/siskinspoke/management/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module per command."""
+"""The command line interface, with one module per command."""
 
 from siskinspoke.management.base import execute
 
--- a/siskinspoke/management/base.py
+++ b/siskinspoke/management/base.py
@@ -1,4 +1,4 @@
-"""What all commands share: flags, help, output and exit codes."""
+"""Flags, help, output and exit codes common to all commands."""
 
 import importlib
 import pkgutil
@@ -14,10 +14,10 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_string("base", "", "Base settings file, in JSON.")
-flags.DEFINE_string("overlay", "", "Overlay of the site, in JSON.")
+flags.DEFINE_string("base", "", "Base settings file (JSON).")
+flags.DEFINE_string("overlay", "", "Settings overlay of the site (JSON).")
 flags.DEFINE_string("name", "", "Name of the VM in the settings.")
-flags.DEFINE_bool("json", False, "Print JSON for programs in place of text for people.")
+flags.DEFINE_bool("json", False, "Print JSON instead of text.")
 
 
 class CommandInfo(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 def command_names() -> list[str]:
-    """Return the names of all commands, as typed by people."""
+    """Return the names of all commands, as typed on the command line."""
     found = pkgutil.iter_modules(commands_package.__path__)
     return sorted(item.name.replace("_", "-") for item in found)
 
@@ -49,7 +49,7 @@
 
 
 def emit(document: dict, text: str) -> None:
-    """Print a result, as JSON under --json and as text otherwise."""
+    """Print a result, as JSON with --json and as text otherwise."""
     if FLAGS.json:
         print(msgspec.json.encode(document).decode())
         return
@@ -73,12 +73,12 @@
     name = argv[1]
     if name not in command_names():
         print(usage(), file=sys.stderr)
-        return fail(Failure(ResultCode.USAGE, f"there is no command {name!r}"))
+        return fail(Failure(ResultCode.USAGE, f"unknown command {name!r}"))
     command = load_command(name)
     if any(word in ("--help", "-h") for word in argv[2:]):
         print(f"siskinspoke {name}: {command.__doc__.strip()}\n")
-        print(FLAGS.module_help(command) or "No flags of its own.")
-        # Only people who ask for help wait for the operators' HTTP client to load.
+        print(FLAGS.module_help(command) or "This command has no flags of its own.")
+        # Imported only here, so that other commands need not load the operators' HTTP client.
         operators = importlib.import_module("siskinspoke.management.operators")
         for module in (operators, sys.modules[__name__]):
             print(FLAGS.module_help(module))
--- a/siskinspoke/management/commands/apply.py
+++ b/siskinspoke/management/commands/apply.py
@@ -1,7 +1,7 @@
-"""Put the services, customers, priorities and limits of the settings in force everywhere.
+"""Apply the services, customers, priorities and limits of the settings at every entry VM.
 
-The change replaces one version by the next. Of two operators who replace the same version,
-one is refused. Sending the same --order again gives the same answer and changes nothing.
+The change replaces one configuration version by the next. If two operators replace the same
+version, the second is refused. The command is idempotent for a given --order.
 """
 
 import getpass
@@ -17,19 +17,19 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_integer("expect", -1, "Version that the change replaces; -1 means the latest.")
+flags.DEFINE_integer("expect", -1, "Configuration version to replace; -1 means the latest.")
 
 ACCEPT_SECONDS = 6.0
 
 
 def handle(_arguments: list[str]) -> int:
-    """Submit the change, wait until it is in force, and name the VMs that lag."""
+    """Submit the change, wait until it is in force, and list the VMs that have not applied it."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
     order = FLAGS.order or secrets.token_hex(8)
     with Operator(settings) as operator:
         expect = FLAGS.expect
         if expect < 0:
-            expect = _latest(operator, settings)
+            expect = _latest_version(operator, settings)
         change = ConfigureRequest(order, getpass.getuser(), expect, settings.configuration_document)
         reply = operator.ask_leader("/v1/configuration", change._asdict(), ACCEPT_SECONDS)
         failure = _failure(reply, order)
@@ -48,23 +48,23 @@
     return FACTS[code].exit_code
 
 
-def _latest(operator: Operator, settings) -> int:
-    """Return the highest version that any replica reports."""
+def _latest_version(operator: Operator, settings) -> int:
+    """Return the highest configuration version reported by a replica."""
     replies = [operator.control_status(control.name) for control in settings.controls]
     return max((reply.document.get("configuration_version", 0) for reply in replies), default=0)
 
 
 def _failure(reply, order: str) -> Failure | None:
-    """Return why a change was not accepted, if so."""
+    """Return why a change was not accepted, or None if it was."""
     if reply.status == 200:
         code, version = ResultCode(reply.document["code"]), reply.document["version"]
         if code is ResultCode.OK:
             return None
-        return Failure(code, f"version {version} is accepted now; look at it and apply again")
+        return Failure(code, f"the current version is {version}; review it and apply again")
     if reply.status in (0, 421, 503):
         message = (
-            f"no majority answered; the change may still be accepted: "
-            f"repeat it with --order={order} to find out"
+            f"no quorum answered and the change may still be accepted; "
+            f"run the command again with --order={order} to find out"
         )
         return Failure(ResultCode.NO_QUORUM, message)
     error = reply.document.get("error", {})
--- a/siskinspoke/management/commands/check.py
+++ b/siskinspoke/management/commands/check.py
@@ -1,4 +1,4 @@
-"""Report every fault of a base file and an overlay before anything is applied."""
+"""Validate a base file and an overlay without applying them."""
 
 from absl import flags
 
@@ -10,7 +10,7 @@
 
 
 def handle(_arguments: list[str]) -> int:
-    """Print all faults at once; the exit code is 0 if there is none."""
+    """Print all faults; the exit code is 0 if there are none."""
     loaded = load_files(FLAGS.base, FLAGS.overlay)
     if loaded.is_ok():
         document = loaded.ok
--- a/siskinspoke/management/commands/control.py
+++ b/siskinspoke/management/commands/control.py
@@ -1,4 +1,4 @@
-"""Run a control replica, on a VM with a disk."""
+"""Run a control replica on a VM with persistent storage."""
 
 import trio
 from absl import flags
@@ -13,19 +13,19 @@
 
 
 def handle(_arguments: list[str]) -> int:
-    """Run until SIGTERM; end with the code of its failure if the disk refuses."""
+    """Run until SIGTERM; on a failure, such as of the disk, return its exit code."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
     configure_logs(FLAGS.name)
     failures = []
     try:
         trio.run(run_control, settings, FLAGS.name)
     except* FailureError as group:
-        failures.append(_first(group))
+        failures.append(_first_failure(group))
     return fail(failures[0]) if failures else 0
 
 
-def _first(group: BaseExceptionGroup) -> Failure:
-    """Return the first failure inside nested groups."""
+def _first_failure(group: BaseExceptionGroup) -> Failure:
+    """Return the first failure in nested exception groups."""
     error = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/siskinspoke/management/commands/drain.py
+++ b/siskinspoke/management/commands/drain.py
@@ -1,4 +1,4 @@
-"""Let an entry VM finish its open requests, refuse new ones, and stop."""
+"""Stop an entry VM once its open requests have finished; new ones are refused."""
 
 from absl import flags
 
@@ -11,13 +11,13 @@
 
 
 def handle(_arguments: list[str]) -> int:
-    """Start the drain of the VM that --name gives."""
+    """Start draining the VM given by --name."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
     entry = settings.entry(FLAGS.name)
     with Operator(settings) as operator:
         reply = operator.exchange("POST", entry.host, entry.internal_port, "/v1/drain", {})
     if reply.status != 200:
         return fail(Failure(ResultCode.UNREACHABLE, f"{entry.name} does not answer"))
-    text = f"{entry.name} drains, {reply.document['open_requests']} requests open"
+    text = f"{entry.name} is draining, {reply.document['open_requests']} open requests"
     emit(reply.document, text)
     return 0
--- a/siskinspoke/management/commands/gateway.py
+++ b/siskinspoke/management/commands/gateway.py
@@ -1,4 +1,4 @@
-"""Run the transparent path of an entry VM, with what the adapter to the platform decodes."""
+"""Run the transparent gateway of an entry VM, using the platform's wire format."""
 
 import trio
 from absl import flags
@@ -13,8 +13,8 @@
 
 def handle(_arguments: list[str]) -> int:
     """Run until SIGTERM, then drain."""
-    read = settings_reader(FLAGS.vm_file)
-    log = DecisionLog(read().name)
-    trio.run(GatewayDaemon(read, PlatformWire(), log).run, FLAGS.metrics_port)
+    read_settings = settings_reader(FLAGS.vm_file)
+    log = DecisionLog(read_settings().name)
+    trio.run(GatewayDaemon(read_settings, PlatformWire(), log).run, FLAGS.metrics_port)
     log.close()
     return 0
--- a/siskinspoke/management/commands/order.py
+++ b/siskinspoke/management/commands/order.py
@@ -1,6 +1,6 @@
 """Order an engine to load a model, an adapter or a version, or to change its role.
 
-Sending the same --order again gives the same answer and is carried out once.
+The command is idempotent for a given --order.
 """
 
 import getpass
@@ -17,8 +17,8 @@
 
 FLAGS = flags.FLAGS
 
-flags.DEFINE_string("to", "", "Backend server that gets the order.")
-flags.DEFINE_enum("action", "load-model", sorted(ACTIONS), "What it shall do.")
+flags.DEFINE_string("to", "", "Backend server that receives the order.")
+flags.DEFINE_enum("action", "load-model", sorted(ACTIONS), "Action to perform.")
 flags.DEFINE_string("argument", "", "The model, adapter, version or role.")
 
 ACCEPT_SECONDS = 6.0
@@ -26,13 +26,13 @@
 
 
 def handle(_arguments: list[str]) -> int:
-    """Give the order, wait for its end, and print it."""
+    """Submit the order, wait until it has ended, and print its state."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
     name = FLAGS.order or secrets.token_hex(8)
     with Operator(settings) as operator:
-        server = _find(operator, settings, FLAGS.to)
+        server = _find_server(operator, settings, FLAGS.to)
         if server is None:
-            return fail(Failure(ResultCode.UNREACHABLE, f"no entry VM knows server {FLAGS.to!r}"))
+            return fail(Failure(ResultCode.UNREACHABLE, f"no entry VM lists a server {FLAGS.to!r}"))
         body = {
             "order": name,
             "operator": getpass.getuser(),
@@ -41,19 +41,21 @@
         } | {field: server[field] for field in ("server", "incarnation", "host", "port", "fencing")}
         reply = operator.ask_leader("/v1/orders", body, ACCEPT_SECONDS)
         if reply.status != 200:
-            message = f"not accepted for certain: repeat it with --order={name} to find out"
+            message = (
+                f"the order may not have been accepted; repeat it with --order={name} to find out"
+            )
             return fail(Failure(ResultCode.NO_QUORUM, message))
-        answer = _wait(operator, settings, name, reply.document)
+        answer = _wait_for_completion(operator, settings, name, reply.document)
     code = ResultCode(answer["code"])
     if code is not ResultCode.OK:
-        return fail(Failure(code, f"order {name} was used for something else"))
+        return fail(Failure(code, f"order name {name} is already used by a different order"))
     text = f"order {name} has number {answer['number']}: {answer['state']} {answer['detail']}"
     emit(answer, text)
     return 0 if answer["state"] == DONE else FACTS[ResultCode.CHECK_FAILED].exit_code
 
 
-def _find(operator: Operator, settings, name: str) -> dict | None:
-    """Return what any entry VM knows of a server."""
+def _find_server(operator: Operator, settings, name: str) -> dict | None:
+    """Return the record of a server from the first entry VM that lists it."""
     for entry in settings.entries:
         for server in operator.entry_status(entry.name).document.get("servers", []):
             if server["server"] == name:
@@ -61,8 +63,8 @@
     return None
 
 
-def _wait(operator: Operator, settings, name: str, answer: dict) -> dict:
-    """Ask the replicas until the order has ended or the time is over."""
+def _wait_for_completion(operator: Operator, settings, name: str, answer: dict) -> dict:
+    """Poll the replicas until the order has ended or --wait has passed."""
     deadline = time.monotonic() + FLAGS.wait
     while answer["state"] == PENDING and time.monotonic() < deadline:
         time.sleep(POLL_SECONDS)
--- a/siskinspoke/management/commands/registry.py
+++ b/siskinspoke/management/commands/registry.py
@@ -1,4 +1,4 @@
-"""Run a control VM that finds its group through seeds, with the adapter to the platform."""
+"""Run a control VM that discovers its group through seeds, with the platform's API."""
 
 import trio
 from absl import flags
@@ -11,7 +11,7 @@
 
 
 def load_app() -> AppFactory:
-    """Return what answers the platform's calls, and how large they may be."""
+    """Return the application that serves the platform's API, and its body limits."""
     from siskinspoke.platform.control_app import BOUNDS, ControlApp
 
     return ControlApp, BOUNDS
@@ -19,8 +19,8 @@
 
 def handle(_arguments: list[str]) -> int:
     """Run until SIGTERM."""
-    read = settings_reader(FLAGS.vm_file)
-    log = DecisionLog(read().name)
-    trio.run(GroupDaemon(read, log).run, load_app, FLAGS.metrics_port)
+    read_settings = settings_reader(FLAGS.vm_file)
+    log = DecisionLog(read_settings().name)
+    trio.run(GroupDaemon(read_settings, log).run, load_app, FLAGS.metrics_port)
     log.close()
     return 0
--- a/siskinspoke/management/commands/status.py
+++ b/siskinspoke/management/commands/status.py
@@ -1,4 +1,4 @@
-"""Show what each VM believes: configuration version, leader, servers, open requests."""
+"""Show the status of each VM: configuration version, leader, servers and open requests."""
 
 from absl import flags
 
@@ -11,7 +11,7 @@
 
 
 def handle(_arguments: list[str]) -> int:
-    """Ask every VM; those that do not answer are named and set the exit code."""
+    """Query every VM; the exit code reports whether any did not answer."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
     with Operator(settings) as operator:
         controls = {
@@ -25,8 +25,8 @@
     lines += ["", "entry VMs:"]
     lines += [_entry_line(name, document) for name, document in entries.items()]
     emit({"controls": controls, "entries": entries}, "\n".join(lines))
-    silent = [name for name, document in {**controls, **entries}.items() if not document]
-    return FACTS[ResultCode.UNREACHABLE].exit_code if silent else 0
+    unreachable = [name for name, document in {**controls, **entries}.items() if not document]
+    return FACTS[ResultCode.UNREACHABLE].exit_code if unreachable else 0
 
 
 def _control_line(name: str, document: dict) -> str:
--- a/siskinspoke/management/operators.py
+++ b/siskinspoke/management/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: bounded exchanges with entries and control replicas."""
+"""Client for operators' commands: requests with timeouts to entry VMs and control replicas."""
 
 import time
 from typing import NamedTuple
@@ -9,25 +9,29 @@
 
 from siskinspoke.conf import Settings
 
-EXCHANGE_SECONDS = 2.0
+REQUEST_TIMEOUT_SECONDS = 2.0
 
-flags.DEFINE_string("order", "", "Name of the change or order, to send it again if need be.")
-flags.DEFINE_float("wait", 3.0, "Seconds to wait until it is in force, or has ended.")
+flags.DEFINE_string(
+    "order", "", "Idempotency key of the change or order; reuse it to repeat the command."
+)
+flags.DEFINE_float(
+    "wait", 3.0, "Seconds to wait until the change is in force or the order has ended."
+)
 
 
 class Reply(NamedTuple):
-    """A process's answer; status 0 means that none came."""
+    """A response; status 0 means that there was none."""
 
     status: int
     document: dict
 
 
 class Operator:
-    """Own the client and the operators' key."""
+    """Send authenticated requests to the processes of a site."""
 
-    def __init__(self, settings: Settings, seconds: float = EXCHANGE_SECONDS):
+    def __init__(self, settings: Settings, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS):
         self._settings = settings
-        self._client = httpx.Client(timeout=seconds, trust_env=False)
+        self._client = httpx.Client(timeout=timeout_seconds, trust_env=False)
 
     def __enter__(self) -> "Operator":
         return self
@@ -36,7 +40,7 @@
         self._client.close()
 
     def exchange(self, method: str, host: str, port: int, path: str, body=None) -> Reply:
-        """Send one request and return the reply."""
+        """Send a request and return the reply."""
         headers = {"Authorization": f"Bearer {self._settings.operator_key}"}
         content = None if body is None else msgspec.json.encode(body)
         try:
@@ -48,41 +52,41 @@
             return Reply(0, {})
 
     def entry_status(self, name: str) -> Reply:
-        """Ask an entry VM for its status."""
+        """Return the status of an entry VM."""
         entry = self._settings.entry(name)
         return self.exchange("GET", entry.host, entry.internal_port, "/v1/status")
 
     def control_status(self, name: str) -> Reply:
-        """Ask a control replica for its status."""
+        """Return the status of a control replica."""
         control = self._settings.control_vm(name)
         return self.exchange("GET", control.host, control.port, "/v1/status")
 
     def versions(self) -> dict[str, int | None]:
-        """Return the configuration version in force at each entry VM; None where none answers."""
-        found = {}
+        """Return the configuration version of each entry VM, or None if it does not answer."""
+        versions = {}
         for entry in self._settings.entries:
             reply = self.entry_status(entry.name)
-            found[entry.name] = reply.document.get("configuration_version")
-        return found
+            versions[entry.name] = reply.document.get("configuration_version")
+        return versions
 
     def wait_in_force(self, version: int, seconds: float) -> list[str]:
-        """Wait until every entry VM has a version in force; return those that do not."""
+        """Wait until every entry VM has applied a version; return the names of those that lag."""
         deadline = time.monotonic() + seconds
         missing = [entry.name for entry in self._settings.entries]
         while missing:
-            missing = [name for name in missing if not self._has(name, version)]
+            missing = [name for name in missing if not self._has_version(name, version)]
             if time.monotonic() >= deadline:
                 break
             if missing:
                 time.sleep(0.1)
         return missing
 
-    def _has(self, name: str, version: int) -> bool:
+    def _has_version(self, name: str, version: int) -> bool:
         in_force = self.entry_status(name).document.get("configuration_version")
         return in_force is not None and in_force >= version
 
     def ask_leader(self, path: str, body, seconds: float) -> Reply:
-        """Send a change to the replicas until the leader answers it."""
+        """Send a change to the replicas in turn until the leader answers."""
         deadline = time.monotonic() + seconds
         reply = Reply(0, {})
         while time.monotonic() < deadline:
--- a/siskinspoke/management/vm_files.py
+++ b/siskinspoke/management/vm_files.py
@@ -1,4 +1,4 @@
-"""The flags and the settings file of a VM that learns of the others at run time."""
+"""Flags and settings file of a VM that discovers the other VMs at run time."""
 
 import os
 from collections.abc import Callable
@@ -10,22 +10,22 @@
 from siskinspoke.platform import SETTINGS_VARIABLE
 
 flags.DEFINE_string(
-    "vm_file", "", "Settings of this VM, in JSON; the environment names the file otherwise."
+    "vm_file", "", "Settings file of this VM (JSON); defaults to the file named in the environment."
 )
-flags.DEFINE_integer("metrics_port", 0, "Port of the metrics address; 0 serves none.")
+flags.DEFINE_integer("metrics_port", 0, "Port for metrics; 0 disables them.")
 
 
 def settings_reader(path: str) -> Callable[[], VmSettings]:
-    """Return what reads the settings file, again each time that it is called."""
-    found = path or os.environ.get(SETTINGS_VARIABLE, "")
-    if not found:
-        message = f"give --vm_file, or name the file in {SETTINGS_VARIABLE}"
+    """Return a function that reads the settings file on each call."""
+    settings_path = path or os.environ.get(SETTINGS_VARIABLE, "")
+    if not settings_path:
+        message = f"pass --vm_file, or set its path in {SETTINGS_VARIABLE}"
         raise FailureError(Failure(ResultCode.USAGE, message))
 
-    def read() -> VmSettings:
-        settings = vm_settings_from(found)
+    def read_settings() -> VmSettings:
+        settings = vm_settings_from(settings_path)
         if settings.is_error():
             raise FailureError(settings.error)
         return settings.ok
 
-    return read
+    return read_settings
