--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that run whole sites as real processes on loopback addresses."""
+"""Fixtures that run complete sites as separate processes on loopback addresses."""
 
 from contextlib import ExitStack
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def make_site(tmp_path):
-    """Return a function that starts a site; it ends with the test."""
+    """Return a function that starts a site, which is stopped at the end of the test."""
     with ExitStack() as stack:
 
         def make(**changes):
