--- a/tests/integration/test_callers.py
+++ b/tests/integration/test_callers.py
@@ -1,4 +1,4 @@
-"""Proofs on bad input, and the operators' commands, against a running site."""
+"""Invalid client input and operator commands, tested against a running site."""
 
 import socket
 import subprocess
@@ -13,8 +13,8 @@
 from siskinspoke.testing.site import customer_key
 
 KEY = customer_key("municipio-1")
-GOOD = {"model": "redactor", "prompt": "x" * 4_000, "max_tokens": 4}
-NEVER = "1000000000000-old"
+VALID_BODY = {"model": "redactor", "prompt": "x" * 4_000, "max_tokens": 4}
+EXPIRED_KEY = "1000000000000-old"
 
 BAD_BODIES = [
     (b"not json", ResultCode.NOT_JSON),
@@ -33,8 +33,8 @@
 ]
 
 
-class Callers:
-    """Send single requests to one entry VM."""
+class EntryClient:
+    """Sends single requests to one entry VM."""
 
     def __init__(self, site):
         host, port = site.entry_address("entry-sala-a-1")
@@ -42,7 +42,7 @@
         self.url = f"http://{host}:{port}"
 
     def post(self, path, content=None, key=KEY, **options):
-        """Send one request and return status and error code."""
+        """Send one request and return its status, error code and ``run`` value."""
         headers = {"Authorization": f"Bearer {key}"} | options.pop("headers", {})
         response = httpx.post(
             self.url + path, content=content, headers=headers, timeout=20, trust_env=False,
@@ -53,79 +53,84 @@
 
 
 class TestBadInput:
-    """Bad input of any kind gets a numbered code at once and costs no backend anything."""
+    """Invalid input is rejected at once with an error code and reaches no backend server."""
 
-    def test_everything_wrong_is_told_apart(self, make_site):
+    def test_each_fault_has_its_own_code(self, make_site):
         site = make_site()
-        callers = Callers(site)
+        client = EntryClient(site)
         for body, code in BAD_BODIES:
-            assert callers.post("/v1/completions", body)[1:] == (code, "not_run"), body
+            assert client.post("/v1/completions", body)[1:] == (code, "not_run"), body
         path = "/v1/completions"
-        assert callers.post(path, json=GOOD, key="wrong")[1] == ResultCode.UNAUTHENTICATED
-        bad_key = {"Idempotency-Key": "abc"}
-        assert callers.post(path, json=GOOD, headers=bad_key)[1] == ResultCode.INVALID_KEY
-        old = {"Idempotency-Key": NEVER}
-        assert callers.post("/v1/services/despacho", json={}, headers=old)[1:] == (
+        assert client.post(path, json=VALID_BODY, key="wrong")[1] == ResultCode.UNAUTHENTICATED
+        invalid_key_headers = {"Idempotency-Key": "abc"}
+        assert (
+            client.post(path, json=VALID_BODY, headers=invalid_key_headers)[1]
+            == ResultCode.INVALID_KEY
+        )
+        expired_key_headers = {"Idempotency-Key": EXPIRED_KEY}
+        assert client.post("/v1/services/despacho", json={}, headers=expired_key_headers)[1:] == (
             ResultCode.KEY_EXPIRED,
             "unknown",
         )
-        assert callers.post("/v1/services/nobody", json={})[1] == ResultCode.UNKNOWN_MODEL
-        assert callers.post("/v1/nothing", json={})[1] == ResultCode.UNKNOWN_PATH
-        huge = b'{"prompt": "' + b"x" * 17_000_000 + b'"}'
-        assert callers.post(path, huge)[:2] == (413, ResultCode.BODY_TOO_LARGE)
-        self.send_slowly_and_wrongly(callers)
-        assert callers.post(path, json=GOOD)[0] == 200
-        began = [sum(site.server_state(n)["began"].values()) for n in site.specs if "engine" in n]
-        assert sum(began) == 1
-
-    def send_slowly_and_wrongly(self, callers):
-        """Leave connections half done in every way; the neighbours must not notice."""
+        assert client.post("/v1/services/nobody", json={})[1] == ResultCode.UNKNOWN_MODEL
+        assert client.post("/v1/nothing", json={})[1] == ResultCode.UNKNOWN_PATH
+        oversized_body = b'{"prompt": "' + b"x" * 17_000_000 + b'"}'
+        assert client.post(path, oversized_body)[:2] == (413, ResultCode.BODY_TOO_LARGE)
+        self.send_malformed_data(client)
+        assert client.post(path, json=VALID_BODY)[0] == 200
+        executions = [
+            sum(site.server_state(n)["began"].values()) for n in site.specs if "engine" in n
+        ]
+        assert sum(executions) == 1
+
+    def send_malformed_data(self, client):
+        """Send malformed and incomplete data; other connections must be unaffected."""
         head = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
-        wrong = [
+        malformed = [
             head + b"X: " + b"y" * 200_000 + b"\r\n\r\n",
             head + b"Content-Length: 1000\r\nAuthorization: Bearer " + KEY.encode() + b"\r\n\r\n{",
             head + b"Content-Length: nonsense\r\n\r\n",
             b"\x16\x03\x01\x02\x00",
             head[:20],
         ]
-        for data in wrong:
-            peer = socket.create_connection(callers.address, timeout=5)
+        for data in malformed:
+            connection = socket.create_connection(client.address, timeout=5)
             try:
-                peer.sendall(data)
-                peer.shutdown(socket.SHUT_WR)
+                connection.sendall(data)
+                connection.shutdown(socket.SHUT_WR)
             except OSError:
                 pass
-            peer.close()
+            connection.close()
 
 
-class TestLimitsInForce:
-    """A limit that operators change holds at VMs that run already."""
+class TestLimitChange:
+    """Running VMs apply a limit that operators change."""
 
-    def test_smaller_bodies(self, make_site):
+    def test_lowered_body_limit(self, make_site):
         site = make_site(services=0)
-        callers = Callers(site)
-        assert callers.post("/v1/completions", json=GOOD)[0] == 200
+        client = EntryClient(site)
+        assert client.post("/v1/completions", json=VALID_BODY)[0] == 200
         document = dict(site.fleet.settings.configuration_document)
         document["limits"] = document["limits"] | {"max_body_bytes": 2_000}
         body = {"order": "o", "operator": "t", "expect": 0, "document": document}
         with Operator(site.fleet.settings) as operator:
             assert operator.ask_leader("/v1/configuration", body, 6).document["code"] == 0
             assert not operator.wait_in_force(1, 3)
-        assert callers.post("/v1/completions", json=GOOD)[1] == ResultCode.BODY_TOO_LARGE
+        assert client.post("/v1/completions", json=VALID_BODY)[1] == ResultCode.BODY_TOO_LARGE
 
 
 class TestCommands:
-    """Operators' commands against a running site."""
+    """Operator commands against a running site."""
 
     def run(self, site, command, *flags):
         """Run one command and return its exit code and output."""
         fleet = site.fleet
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "siskinspoke", command, f"--base={fleet.base}",
              f"--overlay={fleet.overlay}", *flags],
             capture_output=True, text=True, timeout=30, check=False,
         )  # fmt: skip
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def test_check_apply_status_drain(self, make_site):
         site = make_site()
@@ -151,7 +156,7 @@
         ("flags", "code"), [(["nonsense"], 2), (["check", "--nonsense"], 2), (["help"], 0)]
     )
     def test_usage(self, flags, code):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "siskinspoke", *flags], capture_output=True, check=False
         )
-        assert done.returncode == code
+        assert completed.returncode == code
--- a/tests/integration/test_chaos.py
+++ b/tests/integration/test_chaos.py
@@ -1,26 +1,26 @@
-"""A run of seeded faults with traffic; whatever happens, the promises hold."""
+"""Seeded random faults under traffic; the invariants hold throughout."""
 
 import pytest
 
 from siskinspoke.testing.chaos import Chaos
 from siskinspoke.testing.fleet import wait_until
 
-SECONDS = 30
+RUN_SECONDS = 30
 SERVICES = ("despacho-sala-a-1", "despacho-sala-b-1")
 
 
 class TestChaos:
-    """Kills, emptied disks, freezes, cuts and resets, one after the other, under traffic.
+    """Kills, emptied disks, freezes, network cuts and connection resets under traffic.
 
-    Users would see half answers, doubled letters, "not run" for what ran, or engines that
-    stay full.
+    Guards against truncated answers, calls that run twice, "not run" for a request that ran,
+    and engine memory that is never released.
     """
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_promises_hold(self, make_site, seed):
+    def test_invariants_hold(self, make_site, seed):
         site = make_site(services=2, entries_per_domain=2)
         chaos = Chaos(site, seed)
-        chaos.run(SECONDS)
+        chaos.run(RUN_SECONDS)
         print(chaos.faults, len(chaos.completions), sum(c.whole for c in chaos.completions))
         assert chaos.violations(SERVICES) == []
         assert sum(item.whole for item in chaos.completions) > len(chaos.completions) / 2
