--- a/tests/integration/test_claims.py
+++ b/tests/integration/test_claims.py
@@ -1,4 +1,4 @@
-"""Proofs that a non-idempotent call runs at most once."""
+"""A non-idempotent call runs at most once."""
 
 import shutil
 import time
@@ -15,54 +15,54 @@
 CUSTOMER = "municipio-1"
 KEY = customer_key(CUSTOMER)
 SERVICE = "despacho-sala-a-1"
-SLOW = ("--delay_ms=1500",)
+SLOW_SERVICE_FLAGS = ("--delay_ms=1500",)
 
 
 def subject(key):
-    """Return the name under which the service logs a keyed call."""
+    """Return the name under which the service logs a call with this idempotency key."""
     return f"{CUSTOMER}/{key}"
 
 
-async def call(site, key, *entries, timeout_ms=8_000):
+async def send_call(site, key, *entries, timeout_ms=8_000):
     """Call the plain service through the named entry VMs."""
     async with site.caller(*entries) as caller:
         return await caller.call("despacho", KEY, "send", key, timeout_ms)
 
 
-def counters(site, entry):
+def entry_counters(site, entry):
     """Return the counters of an entry VM."""
     return site.fleet.status(entry)["counters"]
 
 
 async def resend_until_final(site, key, *entries, seconds=12):
-    """Resend as a caller does, until the answer is not to come back later."""
+    """Resend as a client does, until an answer has no Retry-After or the time is up."""
     deadline = time.monotonic() + seconds
     while True:
-        outcome = await call(site, key, *entries)
+        outcome = await send_call(site, key, *entries)
         if outcome.retry_after_ms is None or time.monotonic() > deadline:
             return outcome
         await trio.sleep(0.2)
 
 
 class TestResend:
-    """A clerk's client resends through the balancer to another VM."""
+    """A client resends a call through the load balancer to another VM."""
 
-    def test_resend_while_the_first_runs(self, make_site):
-        """The first answer is slow, the client asks again elsewhere, the debtor gets one letter.
+    def test_resend_during_first_attempt(self, make_site):
+        """A resend to another VM while the first attempt runs does not run the call again.
 
-        First attempt at one VM, resend at another while it runs, then once more after its end.
+        It reports that the call is in progress; a third attempt after its end gets the answer.
         """
-        site = make_site(service_flags=SLOW, entries_per_domain=2)
+        site = make_site(service_flags=SLOW_SERVICE_FLAGS, entries_per_domain=2)
         key = idempotency_key("one")
 
         async def scenario():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(call, site, key, "entry-sala-a-1")
+                nursery.start_soon(send_call, site, key, "entry-sala-a-1")
                 await trio.to_thread.run_sync(
                     wait_until, lambda: site.runs_by_subject(SERVICE)[subject(key)] == 1, "run"
                 )
-                during = await call(site, key, "entry-sala-b-1")
-            after = await call(site, key, "entry-anexo-1")
+                during = await send_call(site, key, "entry-sala-b-1")
+            after = await send_call(site, key, "entry-anexo-1")
             return during, after
 
         during, after = trio.run(scenario)
@@ -71,16 +71,17 @@
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
     def test_entry_killed_after_dispatch(self, make_site):
-        """The VM that took the call dies while it runs; the client resends to another one.
+        """The entry VM is killed after it dispatched a call; the client resends to another one.
 
-        The service finishes; nobody settles the claim.  The resend must find out and not run.
+        The service finishes the call, but its claim is never settled.  The resend must detect
+        that the call ran, and not dispatch it again.
         """
-        site = make_site(service_flags=SLOW, entries_per_domain=2)
+        site = make_site(service_flags=SLOW_SERVICE_FLAGS, entries_per_domain=2)
         key = idempotency_key("two")
 
         async def scenario():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(call, site, key, "entry-sala-a-1")
+                nursery.start_soon(send_call, site, key, "entry-sala-a-1")
                 await trio.to_thread.run_sync(
                     wait_until, lambda: site.runs_by_subject(SERVICE)[subject(key)] == 1, "run"
                 )
@@ -91,12 +92,12 @@
         assert outcome.code == ResultCode.ALREADY_RAN
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
-    def test_frozen_entry_thaws_after_the_resend(self, make_site):
-        """A VM freezes with its dispatch on the way, a resend runs elsewhere, then it thaws.
+    def test_frozen_entry_resumes_after_resend(self, make_site):
+        """A VM freezes while its dispatch is in transit, and resumes after a resend has run.
 
-        The dispatch hangs in the network.  The resend asks the service, which has never seen
-        the first attempt and forbids it for good; then the second one runs.  The late dispatch
-        arrives, and the thawed VM asks for the claim again.
+        The network delays the dispatch.  The resend queries the service, which has not seen the
+        first attempt and permanently rejects it; then the second attempt runs.  The delayed
+        dispatch arrives, and the resumed VM requests the claim again.
         """
         site = make_site()
         key = idempotency_key("three")
@@ -105,46 +106,48 @@
 
         async def scenario():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(call, site, key, "entry-anexo-1")
+                nursery.start_soon(send_call, site, key, "entry-anexo-1")
                 await trio.to_thread.run_sync(
-                    wait_until, lambda: "claim.granted" in counters(site, "entry-anexo-1"), "claim"
+                    wait_until,
+                    lambda: "claim.granted" in entry_counters(site, "entry-anexo-1"),
+                    "claim",
                 )
                 site.fleet.freeze("entry-anexo-1")
                 outcome = await resend_until_final(site, key, "entry-sala-b-1")
                 for domain in (0, 1):
                     site.proxy.set_rule(2, domain, Rule(), SERVER_PORT)
                 site.fleet.thaw("entry-anexo-1")
-            return outcome, await call(site, key, "entry-anexo-1")
+            return outcome, await send_call(site, key, "entry-anexo-1")
 
         outcome, late = trio.run(scenario)
         assert outcome.whole
         assert late.whole
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
-    def test_service_restarted_under_its_address(self, make_site):
-        """The service dies in mid-call and is back before the resend comes.
+    def test_service_restarted_on_same_address(self, make_site):
+        """The service crashes during a call and restarts before the resend arrives.
 
-        It knows nothing of the call it began, and would say 'never began': only the
-        incarnation tells.  The honest answer is that nobody knows.
+        The new process has no record of the call and would answer 'never began'; only its
+        incarnation shows the restart.  The outcome must be reported as unknown.
         """
-        site = make_site(service_flags=SLOW)
-        outcome, runs = trio.run(restart_in_mid_call, site)
+        site = make_site(service_flags=SLOW_SERVICE_FLAGS)
+        outcome, runs = trio.run(restart_service_during_call, site)
         assert outcome.code == ResultCode.FATE_UNKNOWN
         assert runs == 1
 
     @pytest.mark.parametrize("mutant", ["any_incarnation", "no_claims", "unknown_is_not_run"])
     def test_mutants_run_twice(self, make_site, mutant):
-        """With any of these guards switched off the debtor gets two letters."""
-        site = make_site(service_flags=SLOW, mutant=mutant)
-        _, runs = trio.run(restart_in_mid_call, site)
+        """Without any one of these guards the call runs twice."""
+        site = make_site(service_flags=SLOW_SERVICE_FLAGS, mutant=mutant)
+        _, runs = trio.run(restart_service_during_call, site)
         assert runs == 2
 
 
-async def restart_in_mid_call(site):
-    """Kill and restart the service while a call runs, resend, and count the runs."""
+async def restart_service_during_call(site):
+    """Kill and restart the service during a call, resend, and return the outcome and run count."""
     key = idempotency_key("four")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(call, site, key, "entry-sala-a-1")
+        nursery.start_soon(send_call, site, key, "entry-sala-a-1")
         await trio.to_thread.run_sync(
             wait_until, lambda: site.runs_by_subject(SERVICE)[subject(key)] == 1, "run"
         )
@@ -156,36 +159,36 @@
 
 
 class TestControlFaults:
-    """Claims while the control replicas fail."""
+    """Claims during failures of control replicas."""
 
-    def test_claims_survive_the_leader_and_a_lost_disk(self, make_site):
-        """The leader's VM is lost with its disk, comes back empty, and then a second one dies.
+    def test_claims_survive_leader_and_disk_loss(self, make_site):
+        """The leader restarts with an empty disk; once it is readmitted, the new leader is killed.
 
-        A key claimed before must still be held after both; a resend must not run again.
+        The earlier claim must survive both failures, so that a resend does not run again.
         """
         site = make_site()
         key = idempotency_key("five")
-        assert trio.run(call, site, key).whole
+        assert trio.run(send_call, site, key).whole
         leader = site.fleet.leader()
         site.fleet.kill(leader)
         shutil.rmtree(site.fleet.settings.control_vm(leader).data_folder)
-        second = site.fleet.wait_leader()
+        new_leader = site.fleet.wait_leader()
         site.fleet.start_control(leader)
         wait_until(lambda: site.fleet.running(leader), "started")
         control = site.fleet.settings.control_vm(leader)
         site.fleet.wait_listening(control.host, control.port)
-        wait_until(lambda: site.fleet.control_status(leader)["admitted"], "the disk counts")
-        site.fleet.kill(second)
+        wait_until(lambda: site.fleet.control_status(leader)["admitted"], "replica readmitted")
+        site.fleet.kill(new_leader)
         site.fleet.wait_leader()
         outcome = trio.run(resend_until_final, site, key)
         assert outcome.whole
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
-    def test_no_majority_dispatches_nothing(self, make_site):
-        """Two of three control VMs are down; a charge is refused, soon, and never dispatched.
+    def test_no_dispatch_without_majority(self, make_site):
+        """With two of three control VMs down, a call is refused quickly and never dispatched.
 
-        It is not called 'not run': an earlier attempt with its key may have run, and nobody
-        is left who could know.
+        It is not reported as 'not run': an earlier attempt with its key may have run, which
+        cannot be determined without a majority.
         """
         site = make_site()
         leader = site.fleet.leader()
@@ -193,7 +196,7 @@
         for name in others:
             site.fleet.kill(name)
         key = idempotency_key("six")
-        outcome = trio.run(call, site, key)
+        outcome = trio.run(send_call, site, key)
         assert (outcome.code, outcome.run) == (ResultCode.CLAIMS_UNAVAILABLE, "unknown")
         assert outcome.retry_after_ms > 0
         assert site.runs_by_subject(SERVICE)[subject(key)] == 0
