--- a/tests/integration/test_standing_still.py
+++ b/tests/integration/test_standing_still.py
@@ -1,4 +1,4 @@
-"""VMs and engines that stand still, or hear nothing, for longer than announcements last."""
+"""VMs and engines that freeze, or lose datagrams, for longer than the announcement lease."""
 
 import time
 
@@ -12,10 +12,10 @@
 
 KEY = customer_key("municipio-1")
 TIMEOUT_MS = 4_000
-SLACK_SECONDS = 1.0
-# Announcements are believed for 3 s.
-STILL_SECONDS = 3.3
-DEAF_SECONDS = 3.4
+TOLERANCE_SECONDS = 1.0
+# Both are longer than the 3 s lease of an announcement.
+FREEZE_SECONDS = 3.3
+DATAGRAM_LOSS_SECONDS = 3.4
 
 
 async def complete(site, name, output, timeout_ms):
@@ -25,14 +25,14 @@
 
 
 class TestFrozenOnArrival:
-    """A VM that is frozen when a request comes counts its deadline from before it froze."""
+    """A request that arrives while a VM is frozen: its deadline counts from before the freeze."""
 
     @pytest.mark.parametrize("frozen", [0.0, 3.0])
     def test_deadline_counts_from_sending(self, make_site, frozen):
-        """A caller sends to a VM that stands still for three seconds, and waits for four.
+        """A client with a 4 s timeout sends a request to a VM that is frozen for 3 s.
 
-        The VM read the request once it woke and counted the four seconds from there, so the
-        answer came up to three seconds after its time.
+        Guards against counting the timeout from when the resumed VM reads the request, which
+        delayed the answer by up to 3 s past its deadline.
         """
         site = make_site(engine_flags=("--step_base_ms=40",))
         name = "entry-sala-a-1"
@@ -41,47 +41,48 @@
         async def scenario():
             async with trio.open_nursery() as nursery:
 
-                async def one():
+                async def send_one():
                     outcomes.append(await complete(site, name, 60, TIMEOUT_MS))
 
                 if frozen:
                     site.fleet.freeze(name)
-                nursery.start_soon(one)
+                nursery.start_soon(send_one)
                 await trio.sleep(frozen)
                 site.fleet.thaw(name)
 
         trio.run(scenario)
         assert outcomes[0].status
-        assert outcomes[0].total <= TIMEOUT_MS / 1000 + SLACK_SECONDS, outcomes
+        assert outcomes[0].total <= TIMEOUT_MS / 1000 + TOLERANCE_SECONDS, outcomes
 
 
-class TestStandsStill:
-    """Processes stand still for longer than announcements last, and go on; no engine was lost."""
+class TestFrozenProcesses:
+    """Processes freeze for longer than the announcement lease and resume; no engine is lost."""
 
-    def test_whole_site(self, make_site):
-        """The VMs wake 0.3 s before the engines: all leases have run out, nobody speaks yet.
+    def test_frozen_site_resumes(self, make_site):
+        """VMs that resume 0.3 s before the engines still place requests on known engines.
 
-        Each VM refused its callers with NO_SERVER, though it knew three engines that were well.
+        Guards against refusing clients with NO_SERVER because all announcement leases have
+        expired and no engine has announced itself yet.
         """
         site = make_site()
         entries = [entry.name for entry in site.fleet.settings.entries]
-        outcomes = trio.run(around, site, [*entries, *site.specs], entries)
+        outcomes = trio.run(send_during_freeze, site, [*entries, *site.specs], entries)
         assert [item for item in outcomes if not item.whole] == []
 
 
-async def around(site, frozen, entries):
-    """Freeze, send a request to each VM shortly before it wakes, thaw the VMs, then the rest."""
+async def send_during_freeze(site, frozen, entries):
+    """Freeze processes, send a request to each VM just before it resumes, then resume the rest."""
     outcomes = []
 
-    async def one(name):
+    async def send_one(name):
         outcomes.append(await complete(site, name, 8, 20_000))
 
     for name in frozen:
         site.fleet.freeze(name)
-    await trio.sleep(STILL_SECONDS - 0.2)
+    await trio.sleep(FREEZE_SECONDS - 0.2)
     async with trio.open_nursery() as nursery:
         for name in entries:
-            nursery.start_soon(one, name)
+            nursery.start_soon(send_one, name)
         await trio.sleep(0.2)
         for name in entries:
             site.fleet.thaw(name)
@@ -91,14 +92,15 @@
     return outcomes
 
 
-class TestDeafVM:
-    """Datagrams between VMs get lost for a while; engines and connections to them are well."""
+class TestDatagramLoss:
+    """Datagrams between VMs are lost, while engines stay healthy and accept connections."""
 
-    def test_goes_on_with_the_engines_it_knows(self, make_site):
-        """Each engine speaks to the first VM of its domain; the second ones hear by way of those.
+    def test_serves_with_known_engines(self, make_site):
+        """VMs serve with engines whose leases expired only because datagrams were lost.
 
-        The leases of all engines run out together at the second VMs, which refused their callers
-        with NO_SERVER while connections to each engine came about.
+        Each engine announces itself to the first VM of its domain, which forwards to the second.
+        Guards against second VMs refusing clients with NO_SERVER when all leases expire at once,
+        although they can connect to each engine.
         """
         site = make_site(entries_per_domain=2)
         entries = site.fleet.settings.entries
@@ -113,13 +115,13 @@
                 len(trio.run(complete, site, entry.name, 8, 20_000).request_id) > 0
                 for entry in entries
             ),
-            "all VMs serve",
+            "all VMs serving",
         )
         for source in range(3):
             for target in range(3):
                 rule = Rule(cut=True)
                 site.proxy.set_rule(source, target, rule, entries[0].internal_port)
-        time.sleep(DEAF_SECONDS)
+        time.sleep(DATAGRAM_LOSS_SECONDS)
         outcomes = [trio.run(complete, site, entry.name, 8, 20_000) for entry in entries]
         assert pids == {name: site.fleet.pid(name) for name in site.specs}
         assert [item for item in outcomes if not item.whole] == []
--- a/tests/integration/test_streams.py
+++ b/tests/integration/test_streams.py
@@ -1,4 +1,4 @@
-"""Proofs on answers: whole, to their own caller, in time, and without leaving memory behind."""
+"""Answers are complete, private to their customer, in time, and leak no engine memory."""
 
 import random
 import time
@@ -15,12 +15,14 @@
 OTHER_KEY = customer_key("municipio-2")
 ENGINES = ("engine-sala-a-1", "engine-sala-b-1", "engine-anexo-1")
 SLOW_DECODE = ("--step_base_ms=40",)
-TOKENS = 60
-# Announcements last 3 s.
-FROZEN_SECONDS = 3.6
+OUTPUT_TOKENS = 60
+# Longer than the 3 s lease of an announcement.
+FREEZE_SECONDS = 3.6
 
 
-async def complete(site, *entries, tokens=2_000, output=TOKENS, timeout_ms=20_000, **options):
+async def complete(
+    site, *entries, tokens=2_000, output=OUTPUT_TOKENS, timeout_ms=20_000, **options
+):
     """Stream one completion through the named entry VMs."""
     prompt = prompt_text("municipio-1", 0, random.randrange(10**6), tokens, 0.0)
     async with site.caller(*entries) as caller:
@@ -28,40 +30,42 @@
 
 
 def busy_engine(site):
-    """Return the engine that runs something."""
+    """Return the name of an engine that runs a request, or None."""
     running = [name for name in ENGINES if site.server_state(name)["running"]]
     return running[0] if running else None
 
 
-async def started(site):
-    """Wait until an engine runs something and return its name."""
-    await trio.to_thread.run_sync(wait_until, lambda: busy_engine(site) is not None, "a run")
+async def wait_for_busy_engine(site):
+    """Wait until an engine runs a request and return the engine's name."""
+    await trio.to_thread.run_sync(
+        wait_until, lambda: busy_engine(site) is not None, "a request running"
+    )
     await trio.sleep(0.5)
     return busy_engine(site)
 
 
-async def during(site, act, *entries, **options):
-    """Run ``act`` on the busy engine's name in the middle of one completion."""
+async def complete_during(site, action, *entries, **options):
+    """Call ``action`` with the busy engine's name in the middle of one completion."""
     outcomes = []
     async with trio.open_nursery() as nursery:
 
-        async def one():
+        async def send_one():
             outcomes.append(await complete(site, *entries, **options))
 
-        nursery.start_soon(one)
-        await trio.to_thread.run_sync(act, await started(site))
+        nursery.start_soon(send_one)
+        await trio.to_thread.run_sync(action, await wait_for_busy_engine(site))
     return outcomes[0]
 
 
 class TestWholeAnswers:
-    """An answer that breaks off is taken up again, exactly where it stopped."""
+    """An interrupted answer resumes exactly where it stopped."""
 
-    def test_entry_killed_in_mid_answer(self, make_site):
-        """The VM that a clerk reads from dies; the client reads on at another one."""
+    def test_entry_killed_mid_stream(self, make_site):
+        """The entry VM is killed, and the client resumes the stream at another one."""
         site = make_site(engine_flags=SLOW_DECODE, entries_per_domain=2)
         first = site.entry_address("entry-sala-a-1")
         outcome = trio.run(
-            lambda: during(
+            lambda: complete_during(
                 site,
                 lambda _: site.fleet.kill("entry-sala-a-1"),
                 "entry-sala-a-2",
@@ -73,42 +77,42 @@
         assert outcome.resumed >= 1
         site.wait_memory_returned(*ENGINES)
 
-    def test_entry_frozen_in_mid_answer(self, make_site):
-        """A clerk's answer lacks words in its middle, and still ends as complete.
+    def test_entry_frozen_mid_stream(self, make_site):
+        """A VM that freezes for longer than the announcement lease loses no part of an answer.
 
-        The VM that passes it on freezes for longer than announcements last.  As it thaws it
-        finds words of the engine and the lapse of its announcement at the same moment, gives
-        the attempt up, and goes on elsewhere: exactly where it stopped.
+        As it resumes, it finds received output and the expired lease of the engine together, and
+        continues on another engine.  Guards against a gap in an answer that ends as complete.
         """
         site = make_site(engine_flags=SLOW_DECODE, entries_per_domain=2)
         name = "entry-sala-a-1"
 
         def freeze_and_thaw(_) -> None:
             site.fleet.freeze(name)
-            time.sleep(FROZEN_SECONDS)
+            time.sleep(FREEZE_SECONDS)
             site.fleet.thaw(name)
 
         outcome = trio.run(
-            lambda: during(site, freeze_and_thaw, "entry-sala-b-1", entry=site.entry_address(name))
+            lambda: complete_during(
+                site, freeze_and_thaw, "entry-sala-b-1", entry=site.entry_address(name)
+            )
         )
         assert outcome.whole, outcome
         site.wait_memory_returned(*ENGINES)
 
-    def test_engine_killed_in_mid_answer(self, make_site):
-        """An engine dies; the VM goes on at another one, and the caller sees no seam."""
+    def test_engine_killed_mid_stream(self, make_site):
+        """An engine is killed; the VM continues on another one, invisibly to the client."""
         site = make_site(engine_flags=SLOW_DECODE)
-        outcome = trio.run(during, site, site.fleet.kill)
+        outcome = trio.run(complete_during, site, site.fleet.kill)
         assert outcome.whole
         assert outcome.resumed == 0
 
-    def test_engine_frozen_in_mid_answer(self, make_site):
-        """An engine freezes: its connection stays open, nothing comes, the clerk waits.
+    def test_engine_frozen_mid_stream(self, make_site):
+        """A frozen engine, whose connection stays open, is detected by its expired lease.
 
-        Only its lapsed announcement tells.  Later it thaws and speaks again; what it says
-        must not reach the caller twice.
+        The output that it sends after it resumes must not reach the client twice.
         """
         site = make_site(engine_flags=SLOW_DECODE)
-        outcome = trio.run(during, site, site.fleet.freeze)
+        outcome = trio.run(complete_during, site, site.fleet.freeze)
         assert outcome.whole
         assert outcome.total < 15
         for name in ENGINES:
@@ -116,69 +120,69 @@
         site.wait_memory_returned(*ENGINES)
 
     def test_frozen_engine_is_waited_for_by_the_mutant(self, make_site):
-        """Without the watch on announcements the request only ends with its deadline."""
+        """Without the lease check, the request ends only at its deadline."""
         site = make_site(engine_flags=SLOW_DECODE, mutant="frozen_is_busy")
-        outcome = trio.run(lambda: during(site, site.fleet.freeze, timeout_ms=9_000))
+        outcome = trio.run(lambda: complete_during(site, site.fleet.freeze, timeout_ms=9_000))
         assert outcome.code == ResultCode.DEADLINE_PASSED
 
     def test_connections_reset(self, make_site):
-        """A switch restarts and resets every connection between VMs and engines."""
+        """All connections between VMs and engines are reset, as by a switch restart."""
         site = make_site(engine_flags=SLOW_DECODE)
-        outcome = trio.run(during, site, lambda _: site.proxy.reset_all())
+        outcome = trio.run(complete_during, site, lambda _: site.proxy.reset_all())
         assert outcome.whole
         site.wait_memory_returned(*ENGINES)
 
-    def test_non_idempotent_answer_is_read_again_elsewhere(self, make_site):
-        """A summary that may be made only once is asked for again through another VM."""
+    def test_non_idempotent_request_resent_to_other_entry(self, make_site):
+        """A non-idempotent request that is resent through another VM runs only once."""
         site = make_site(engine_flags=SLOW_DECODE)
         key = idempotency_key("summary")
 
         async def scenario():
             outcomes = []
 
-            async def one(entry):
+            async def send_one(entry):
                 outcomes.append(await complete(site, entry, idempotency=key))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(one, "entry-sala-a-1")
-                await started(site)
-                nursery.start_soon(one, "entry-sala-b-1")
+                nursery.start_soon(send_one, "entry-sala-a-1")
+                await wait_for_busy_engine(site)
+                nursery.start_soon(send_one, "entry-sala-b-1")
             return outcomes
 
         first, second = trio.run(scenario)
         assert first.whole and second.whole
-        began = [site.server_state(name)["began"].get(first.request_id, 0) for name in ENGINES]
-        assert sum(began) == 1
+        executions = [site.server_state(name)["began"].get(first.request_id, 0) for name in ENGINES]
+        assert sum(executions) == 1
 
     def test_huge_non_idempotent_prompt_runs_once(self, make_site):
-        """A summary over several engines is asked for twice, through two VMs."""
+        """A request that spans several engines is sent through two VMs at once."""
         site = make_site(engine_flags=("--prefill_ms_per_token=0.002", "--chunk_tokens=8192"))
         key = idempotency_key("huge")
 
         async def scenario():
             outcomes = []
 
-            async def one(entry):
+            async def send_one(entry):
                 outcomes.append(
                     await complete(site, entry, tokens=700_000, timeout_ms=40_000, idempotency=key)
                 )
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(one, "entry-sala-a-1")
-                nursery.start_soon(one, "entry-sala-b-1")
+                nursery.start_soon(send_one, "entry-sala-a-1")
+                nursery.start_soon(send_one, "entry-sala-b-1")
             return outcomes
 
         outcomes = trio.run(scenario)
         print(outcomes)
         assert any(item.whole for item in outcomes)
-        began = [sum(site.server_state(name)["began"].values()) for name in ENGINES]
-        assert sum(began) == 1
+        executions = [sum(site.server_state(name)["began"].values()) for name in ENGINES]
+        assert sum(executions) == 1
         site.wait_memory_returned(*ENGINES)
 
-    def test_frozen_engine_is_not_called_not_run(self, make_site):
-        """All engines freeze before they say a word; the request has left all the same.
+    def test_frozen_engine_leaves_outcome_unknown(self, make_site):
+        """Engines that are frozen before the dispatch may still run the request later.
 
-        They thaw later and run it.  Calling it "not run" at the deadline would be untrue.
+        At its deadline, the request must be reported as "unknown", not as "not run".
         """
         site = make_site()
         for name in ENGINES:
@@ -187,8 +191,8 @@
         assert (outcome.code, outcome.run) == (ResultCode.DEADLINE_PASSED, "unknown")
 
 
-class TestOwnCaller:
-    """Nobody reads another customer's answer."""
+class TestStreamOwnership:
+    """A customer cannot read another customer's stream."""
 
     def test_token_of_another_customer_is_refused(self, make_site):
         site = make_site(engine_flags=SLOW_DECODE)
@@ -216,41 +220,41 @@
                     await trio.sleep(0.05)
                 document = {"resume_token": tokens[0], "offset": 0}
                 entry = caller.next_entry()
-                theirs = await caller.post(entry, "/v1/streams/resume", OTHER_KEY, document)
+                other_customer = await caller.post(entry, "/v1/streams/resume", OTHER_KEY, document)
                 forged = document | {"resume_token": tokens[0][:-8] + "AAAAAAA="}
-                bad = await caller.post(entry, "/v1/streams/resume", KEY, forged)
+                forged_token = await caller.post(entry, "/v1/streams/resume", KEY, forged)
                 nursery.cancel_scope.cancel()
-            return theirs, bad
+            return other_customer, forged_token
 
         for response in trio.run(scenario):
             assert response.json()["error"]["code"] == ResultCode.UNKNOWN_STREAM
 
 
 class TestMemory:
-    """Engines get all their memory back, whoever dies."""
+    """Engines release all request memory after clients or VMs fail."""
 
-    def test_callers_hang_up(self, make_site):
-        """A hundred callers give up at random moments; no engine goes on for them."""
+    def test_callers_disconnect(self, make_site):
+        """100 clients disconnect at random times, and the engines release their requests."""
         site = make_site(engine_flags=SLOW_DECODE)
         rng = random.Random(5)
 
         async def scenario():
-            async def give_up():
+            async def send_and_disconnect():
                 with trio.move_on_after(rng.uniform(0.05, 1.5)):
                     await complete(site, tokens=rng.randrange(1_000, 60_000), output=500)
 
             async with trio.open_nursery() as nursery:
                 for _ in range(100):
-                    nursery.start_soon(give_up)
+                    nursery.start_soon(send_and_disconnect)
 
         trio.run(scenario)
         site.wait_memory_returned(*ENGINES)
 
     @pytest.mark.parametrize("mutant", ["", "no_engine_lease"])
     def test_entries_killed_at_random(self, make_site, mutant):
-        """Entry VMs die in the middle of everything, group reservations included.
+        """Entry VMs are killed under load, with group reservations held.
 
-        Their leases run out and the engines are empty again; without leases they stay full.
+        The engines release memory when the leases expire; without leases they never do.
         """
         site = make_site(mutant=mutant)
         rng = random.Random(7)
@@ -274,23 +278,23 @@
 
 
 class TestDeadlines:
-    """Each admitted request ends within its time."""
+    """Each admitted request ends within its deadline."""
 
     def test_all_engines_freeze(self, make_site):
-        """Nothing answers any more; every caller still hears in time."""
+        """With all engines frozen, every client gets an error before its deadline."""
         site = make_site(engine_flags=SLOW_DECODE)
 
         async def scenario():
             outcomes = []
             async with site.caller() as caller, trio.open_nursery() as nursery:
 
-                async def one():
+                async def send_one():
                     prompt = prompt_text("municipio-1", 0, 1, 2_000, 0.0)
                     outcomes.append(await caller.complete("redactor", KEY, prompt, 40, 4_000))
 
                 for _ in range(10):
-                    nursery.start_soon(one)
-                await started(site)
+                    nursery.start_soon(send_one)
+                await wait_for_busy_engine(site)
                 for name in ENGINES:
                     site.fleet.freeze(name)
             return outcomes
@@ -301,7 +305,7 @@
         assert not any(item.whole for item in outcomes)
 
     def test_refusal_comes_at_once_with_a_time_to_come_back(self, make_site):
-        """A prompt that cannot be read in time is refused now, not at its deadline."""
+        """A prompt that cannot be prefilled in time is refused at once, not at its deadline."""
         site = make_site()
 
         async def scenario():
@@ -320,7 +324,7 @@
         assert refused.retry_after_ms > 0
         assert refused.total < 1.0
 
-    def test_prompt_that_nothing_can_hold(self, make_site):
+    def test_prompt_exceeds_all_engines(self, make_site):
         site = make_site(engine_flags=("--memory_tokens=100000",))
         refused = trio.run(lambda: complete(site, tokens=900_000, timeout_ms=60_000))
         assert (refused.code, refused.run) == (ResultCode.PROMPT_TOO_LONG, "not_run")
