--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,6 +1,6 @@
-"""A randomized soak: the real programs as processes, faults from outside, promises checked.
+"""A randomized soak test: real processes under injected faults, with invariant checks.
 
-Run seeds by hand with ``python -m tests.soak.soak FIRST COUNT [SECONDS [GATEWAYS]]``.
+Run seeds manually with ``python -m tests.soak.soak FIRST COUNT [SECONDS [GATEWAYS]]``.
 """
 
 import random
@@ -30,43 +30,48 @@
 from tests.platform.test_streams import data_of
 
 REGISTRIES, GATEWAYS = ("c1", "c2", "c3"), ("g1", "g2")
-CLIENTS_A_GATEWAY = 3
-PLAIN, ENGINES = 3, 4
-NOT_RUN = {408, 421, 429, 503}
-PROMISED_SECONDS = 2.0
-STOP_SECONDS = 10.0
-POLL_SECONDS = 0.05
-HELD_UP_SECONDS = 0.5
-PROMPT = {"Token_Counts": "5000,900"}
+CLIENTS_PER_GATEWAY = 3
+PLAIN_SERVERS, ENGINE_SERVERS = 3, 4
+NOT_RUN_STATUSES = {408, 421, 429, 503}
+MAX_STALENESS_SECONDS = 2.0
+STOP_TIMEOUT_SECONDS = 10.0
+POLL_INTERVAL_SECONDS = 0.05
+DELAYED_DATA_SECONDS = 0.5
+PROMPT_HEADERS = {"Token_Counts": "5000,900"}
 
 
 @dataclass
-class Valve:
-    """A proxy before one back end: it passes, delays, silences, cuts one way or resets."""
+class FaultProxy:
+    """A proxy in front of one backend server that forwards, delays, stalls or resets data.
+
+    In the mode ``one_way`` it stalls only the data from the server.
+    """
 
     server: StandinServer
     mode: str = "pass"
     port: int = 0
 
     async def serve(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen on a free port."""
+        """Accept connections on a free port."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.port = listeners[0].socket.getsockname()[1]
         task_status.started()
         await trio.serve_listeners(self._serve_one, listeners)
 
-    async def _serve_one(self, near: trio.SocketStream) -> None:
-        async with near:
+    async def _serve_one(self, client: trio.SocketStream) -> None:
+        async with client:
             try:
-                vm = near.socket.getpeername()[0]
-                far = await trio.open_tcp_stream("127.0.0.1", self.server.port, local_address=vm)
-                async with far, trio.open_nursery() as nursery:
-                    nursery.start_soon(self._pump, near, far, True, nursery.cancel_scope)
-                    nursery.start_soon(self._pump, far, near, False, nursery.cancel_scope)
+                vm_address = client.socket.getpeername()[0]
+                server = await trio.open_tcp_stream(
+                    "127.0.0.1", self.server.port, local_address=vm_address
+                )
+                async with server, trio.open_nursery() as nursery:
+                    nursery.start_soon(self._forward, client, server, True, nursery.cancel_scope)
+                    nursery.start_soon(self._forward, server, client, False, nursery.cancel_scope)
             except OSError:
                 return
 
-    async def _pump(self, source, target, to_server: bool, scope: trio.CancelScope) -> None:
+    async def _forward(self, source, target, to_server: bool, scope: trio.CancelScope) -> None:
         try:
             while data := await source.receive_some(65_536):
                 while self.mode == "silent" or (self.mode == "one_way" and not to_server):
@@ -77,39 +82,43 @@
                     await trio.sleep(0.15)
                 await target.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            pass  # One side has gone; the other is told by the end of the scope.
+            pass  # One side has closed; cancelling the scope closes the other.
         scope.cancel()
 
 
 @dataclass
 class Soak:
-    """One run: its processes, faults, traffic and record."""
+    """One soak run: its processes, faults, traffic and results."""
 
     seed: int
     site: GroupSite
     rng: random.Random
-    lives: random.Random
-    limits: random.Random
+    restart_rng: random.Random
+    limit_rng: random.Random
     gateways: tuple[str, ...] = GATEWAYS
     servers: list[StandinServer] = field(default_factory=list)
-    valves: list[Valve] = field(default_factory=list)
-    answers: dict[str, tuple[str, int]] = field(default_factory=dict)
+    proxies: list[FaultProxy] = field(default_factory=list)
+    outcomes: dict[str, tuple[str, int]] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    acked: tuple[int, float] = (0, 0.0)
-    sent: int = 0
-    began: float = 0.0
+    violations: list[str] = field(default_factory=list)
+    accepted: tuple[int, float] = (0, 0.0)
+    last_version: int = 0
+    started_at: float = 0.0
     down: set[str] = field(default_factory=set)
-    served: Counter = field(default_factory=Counter)
-    kept: dict[tuple[int, str], trio.SocketStream] = field(default_factory=dict)
-    starts: list[int] = field(default_factory=lambda: [1_000] * (PLAIN + ENGINES))
-    words: list[int] = field(default_factory=lambda: [0] * (PLAIN + ENGINES))
-
-    def _note(self, fault: str) -> None:
-        self.faults.append(f"{trio.current_time() - self.began:.2f} {fault}")
-
-    def behaviour(self, service: str):
-        """Return what a back end does with its next request."""
+    status_counts: Counter = field(default_factory=Counter)
+    connections: dict[tuple[int, str], trio.SocketStream] = field(default_factory=dict)
+    start_numbers: list[int] = field(
+        default_factory=lambda: [1_000] * (PLAIN_SERVERS + ENGINE_SERVERS)
+    )
+    sequence_numbers: list[int] = field(
+        default_factory=lambda: [0] * (PLAIN_SERVERS + ENGINE_SERVERS)
+    )
+
+    def _record_fault(self, fault: str) -> None:
+        self.faults.append(f"{trio.current_time() - self.started_at:.2f} {fault}")
+
+    def choose_behaviour(self, service: str):
+        """Return how a backend server handles its next request."""
         roll = self.rng.random()
         if service == "engines":
             if roll < 0.8:
@@ -117,134 +126,143 @@
             return self.rng.choice(
                 [
                     Events(last=3, then="cut", torn=b"id: 4\nda"),
-                    Refuse(back_off=self.limits.choice((None, 0.8, 2.0))),
+                    Refuse(back_off=self.limit_rng.choice((None, 0.8, 2.0))),
                     Close(),
                     Silent(),
                 ]
             )
         if roll < 0.85:
             return Whole(None, after=b"HTTP/1.1 200 OK\r\n" if roll < 0.05 else b"")
-        refuse = Refuse(back_off=self.limits.choice((None, 0.8, 2.0)))
+        refuse = Refuse(back_off=self.limit_rng.choice((None, 0.8, 2.0)))
         return self.rng.choice([refuse, Close(), Whole(None, request_id=b"other"), Silent()])
 
     async def run(self, seconds: float) -> None:
-        """Start everything, break things for a time, heal, and check."""
-        self.began = trio.current_time()
+        """Start all processes, inject faults for the given time, end them, and check invariants."""
+        self.started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
-            for number in range(PLAIN + ENGINES):
+            for number in range(PLAIN_SERVERS + ENGINE_SERVERS):
                 await self._start_server(nursery, number)
             for name in (*REGISTRIES, *self.gateways):
                 self.site.start(name, found=True)
             await self._publish_until_accepted()
-            nursery.start_soon(self._announce_forever)
-            await self._until_served()
+            nursery.start_soon(self._send_heartbeats_forever)
+            await self._wait_until_served()
             with trio.move_on_after(seconds):
                 async with trio.open_nursery() as busy:
                     for task in (
-                        self._break_forever,
-                        self._operate_forever,
-                        self._read_forever,
-                        self._live_forever,
-                        self._limit_forever,
+                        self._inject_faults_forever,
+                        self._publish_forever,
+                        self._read_configuration_forever,
+                        self._restart_servers_forever,
+                        self._change_limits_forever,
                     ):
                         busy.start_soon(task)
-                    for number in range(CLIENTS_A_GATEWAY * len(self.gateways)):
-                        busy.start_soon(self._call_forever, number)
-            await self._heal()
+                    for number in range(CLIENTS_PER_GATEWAY * len(self.gateways)):
+                        busy.start_soon(self._send_requests_forever, number)
+            await self._end_faults()
             await self._publish_until_accepted()
-            await self._until_served()
-            await self._check_end()
+            await self._wait_until_served()
+            await self._check_results()
             nursery.cancel_scope.cancel()
 
     async def _start_server(self, nursery: trio.Nursery, number: int) -> None:
-        service = "plain" if number < PLAIN else "engines"
+        service = "plain" if number < PLAIN_SERVERS else "engines"
         server = StandinServer(f"i-{service}{number}")
-        server._next = lambda: self.behaviour(service)
+        server._next = lambda: self.choose_behaviour(service)
         await nursery.start(server.serve)
-        valve = Valve(server)
-        await nursery.start(valve.serve)
+        proxy = FaultProxy(server)
+        await nursery.start(proxy.serve)
         self.servers.append(server)
-        self.valves.append(valve)
+        self.proxies.append(proxy)
 
-    async def _announce_forever(self) -> None:
+    async def _send_heartbeats_forever(self) -> None:
         while True:
-            for number, valve in enumerate(self.valves):
-                self.words[number] += 1
-                beat = {
-                    "service": "plain" if number < PLAIN else "engines",
-                    "address": f"127.0.0.1:{valve.port}",
+            for number, proxy in enumerate(self.proxies):
+                self.sequence_numbers[number] += 1
+                heartbeat = {
+                    "service": "plain" if number < PLAIN_SERVERS else "engines",
+                    "address": f"127.0.0.1:{proxy.port}",
                     "zone": "a",
-                    "seq": self.words[number],
-                    "born": self.starts[number],
+                    "seq": self.sequence_numbers[number],
+                    "born": self.start_numbers[number],
                 }
-                path = f"/instances/{valve.server.name}/heartbeat"
-                await self._call(self.rng.choice(REGISTRIES), "POST", path, beat)
+                path = f"/instances/{proxy.server.name}/heartbeat"
+                await self._call_registry(self.rng.choice(REGISTRIES), "POST", path, heartbeat)
             await trio.sleep(0.6)
 
-    async def _live_forever(self) -> None:
-        """Let servers start again under their names, and another program announce what it likes.
+    async def _restart_servers_forever(self) -> None:
+        """Restart servers under their names, and send invalid heartbeats.
 
-        Drawn by a source of its own, so that a seed's other faults stay what they were.
+        Uses its own random generator, so that the other faults of a seed do not change.
         """
         while True:
-            await trio.sleep(self.lives.uniform(0.2, 1.2))
-            if self.lives.random() < 0.5:
-                await self._start_again(self.lives.randrange(len(self.valves)))
+            await trio.sleep(self.restart_rng.uniform(0.2, 1.2))
+            if self.restart_rng.random() < 0.5:
+                await self._restart_server(self.restart_rng.randrange(len(self.proxies)))
             else:
-                await self._write_strangely()
+                await self._send_invalid_heartbeat()
 
-    async def _limit_forever(self) -> None:
-        """Let servers name limits, change and end them, and one at a time say that it leaves."""
+    async def _change_limits_forever(self) -> None:
+        """Set, change and remove rate limits of servers; let one server at a time leave."""
         while True:
-            await trio.sleep(self.limits.uniform(0.2, 1.0))
-            number = self.limits.randrange(len(self.servers))
+            await trio.sleep(self.limit_rng.uniform(0.2, 1.0))
+            number = self.limit_rng.randrange(len(self.servers))
             server = self.servers[number]
-            if self.limits.random() < 0.8:
-                server.rate_limit = self.limits.choice((None, None, 0.5, 2.0, 8.0))
-                self._note(f"limit of {server.name}: {server.rate_limit}")
+            if self.limit_rng.random() < 0.8:
+                server.rate_limit = self.limit_rng.choice((None, None, 0.5, 2.0, 8.0))
+                self._record_fault(f"limit of {server.name}: {server.rate_limit}")
                 continue
-            self._note(f"leave of {server.name}")
+            self._record_fault(f"leave of {server.name}")
             server.leaving = True
-            await trio.sleep(self.limits.uniform(1.0, 4.0))
-            await self._start_again(number)
+            await trio.sleep(self.limit_rng.uniform(1.0, 4.0))
+            await self._restart_server(number)
 
-    def _disturb(self, gateway: str, *servers: StandinServer) -> None:
-        """Excuse a gateway that was disturbed: it may not have heard what a server asked for."""
+    def _mark_disturbed(self, gateway: str, *servers: StandinServer) -> None:
+        """Exempt a disturbed gateway from earlier limits of servers, which it may have missed."""
         for server in servers or self.servers:
             server.account.disturbed(self.site.host_of(gateway))
 
-    async def _start_again(self, number: int) -> None:
-        valve = self.valves[number]
-        valve.server.rate_limit, valve.server.leaving = None, False
-        valve.server.account.restarted()
-        self._note(f"start again {valve.server.name}")
-        mode, valve.mode = valve.mode, "reset"
+    async def _restart_server(self, number: int) -> None:
+        proxy = self.proxies[number]
+        proxy.server.rate_limit, proxy.server.leaving = None, False
+        proxy.server.account.restarted()
+        self._record_fault(f"restart {proxy.server.name}")
+        mode, proxy.mode = proxy.mode, "reset"
         await trio.sleep(0.1)
-        valve.mode = mode if mode != "reset" else "pass"
-        self.starts[number] += 1_000
-        self.words[number] = 0
-
-    async def _write_strangely(self) -> None:
-        """Announce what names no server; nobody may be sent there, and the others hold."""
-        name = self.lives.choice([server.name for server in self.servers] + ["i-strange", "i 1"])
-        beat = {"service": "engines", "address": "127.0.0.1:9", "zone": "a", "seq": 10**6}
-        spoil = self.lives.choice(("service", "address", "seq", "state", "none"))
-        if spoil != "none":
-            beat[spoil] = self.lives.choice((None, 7, "strange", [1]))
-        registry = self.lives.choice(REGISTRIES)
-        self._note(f"strange word on {name}, {spoil}")
-        await self._call(registry, "POST", f"/instances/{quote(name)}/heartbeat", beat)
-
-    async def _call(self, name: str, method: str, path: str, body=None):
+        proxy.mode = mode if mode != "reset" else "pass"
+        self.start_numbers[number] += 1_000
+        self.sequence_numbers[number] = 0
+
+    async def _send_invalid_heartbeat(self) -> None:
+        """Send a heartbeat as another program may, with a wrong address, name or field.
+
+        No request may go to its address, and the registered servers must be unaffected.
+        """
+        name = self.restart_rng.choice(
+            [server.name for server in self.servers] + ["i-strange", "i 1"]
+        )
+        heartbeat = {"service": "engines", "address": "127.0.0.1:9", "zone": "a", "seq": 10**6}
+        invalid_field = self.restart_rng.choice(("service", "address", "seq", "state", "none"))
+        if invalid_field != "none":
+            heartbeat[invalid_field] = self.restart_rng.choice((None, 7, "strange", [1]))
+        registry = self.restart_rng.choice(REGISTRIES)
+        self._record_fault(f"invalid heartbeat for {name}, field {invalid_field}")
+        await self._call_registry(
+            registry, "POST", f"/instances/{quote(name)}/heartbeat", heartbeat
+        )
+
+    async def _call_registry(self, name: str, method: str, path: str, body=None):
         return await trio.to_thread.run_sync(self.site.call, name, method, path, body)
 
     async def _publish(self) -> bool:
-        self.sent += 1
-        version = self.sent
+        self.last_version += 1
+        version = self.last_version
         body = document(version, timeout_ms=2_500)
-        status, _ = await self._call(self.rng.choice(REGISTRIES), "POST", "/config/replace", body)
-        if status == 200 and version > self.acked[0]:
-            self.acked = (version, trio.current_time())
+        status, _ = await self._call_registry(
+            self.rng.choice(REGISTRIES), "POST", "/config/replace", body
+        )
+        if status == 200 and version > self.accepted[0]:
+            self.accepted = (version, trio.current_time())
         return status == 200
 
     async def _publish_until_accepted(self) -> None:
@@ -252,23 +270,23 @@
             while not await self._publish():
                 await trio.sleep(0.1)
 
-    async def _until_served(self) -> None:
+    async def _wait_until_served(self) -> None:
         """Wait until each gateway serves a request of each service."""
         with trio.fail_after(30):
             for gateway in self.gateways:
-                for path, more in (("/again/x", {}), ("/stream/x", PROMPT)):
-                    while (await self._ask(gateway, path, "warm-up", **more))[0] != 200:
+                for path, headers in (("/again/x", {}), ("/stream/x", PROMPT_HEADERS)):
+                    while (await self._send_request(gateway, path, "warm-up", **headers))[0] != 200:
                         await trio.sleep(0.1)
 
-    async def _ask(
+    async def _send_request(
         self, gateway: str, path: str, request_id: str, client: int = -1, **more
     ) -> tuple[int, bytes]:
-        """Send one request; return its status (0: none) and its body if it is whole.
+        """Send one request; return its status and body, with status 0 for no complete answer.
 
-        A client goes on using its connection until the process is gone or closes it.
+        A client reuses its connection until the gateway closes it or ends.
         """
         headers = {"Api_Key": KEY, **more}
-        stream = self.kept.pop((client, gateway), None)
+        stream = self.connections.pop((client, gateway), None)
         try:
             if stream is None:
                 stream = await trio.open_tcp_stream(self.site.host_of(gateway), PUBLIC_PORT)
@@ -277,122 +295,142 @@
         except (OSError, trio.BrokenResourceError):
             return 0, b""
         if client >= 0 and answer.whole and b"Connection: close" not in answer.raw:
-            self.kept[(client, gateway)] = stream
+            self.connections[(client, gateway)] = stream
         else:
             await trio.aclose_forcefully(stream)
         if answer.status == 200 and f"Request-Id: {request_id}".encode() not in answer.raw:
-            self.broken.append(f"{request_id} got another's answer: {answer.raw[:80]!r}")
+            self.violations.append(
+                f"{request_id} got the answer of another request: {answer.raw[:80]!r}"
+            )
         return (answer.status, answer.body) if answer.whole else (0, answer.body)
 
-    async def _call_forever(self, client: int) -> None:
+    async def _send_requests_forever(self, client: int) -> None:
         number = 0
         while True:
             number += 1
             request_id = f"r{client}-{number}"
             kind = self.rng.choice(("once", "again", "stream", "solo"))
-            more = PROMPT if kind in ("stream", "solo") else {}
+            headers = PROMPT_HEADERS if kind in ("stream", "solo") else {}
             gateway = self.rng.choice(self.gateways)
-            status, body = await self._ask(gateway, f"/{kind}/x", request_id, client, **more)
-            self.answers[request_id] = (kind, status)
-            self.served[(kind, status)] += 1
+            status, body = await self._send_request(
+                gateway, f"/{kind}/x", request_id, client, **headers
+            )
+            self.outcomes[request_id] = (kind, status)
+            self.status_counts[(kind, status)] += 1
             if status == 200:
                 self._check_body(request_id, kind, body)
             elif status in (401, 404):
-                self.broken.append(f"{request_id} denied with {status}")
+                self.violations.append(f"{request_id} denied with {status}")
             await trio.sleep(self.rng.uniform(0, 0.05))
 
     def _check_body(self, request_id: str, kind: str, body: bytes) -> None:
         if kind in ("stream", "solo"):
             expected = b"".join(event(number) for number in range(1, 7))
             if data_of(body) != expected:
-                self.broken.append(f"{request_id} got events {data_of(body)!r}")
+                self.violations.append(f"{request_id} got events {data_of(body)!r}")
         elif body != request_id.encode():
-            self.broken.append(f"{request_id} got {body[:60]!r}")
+            self.violations.append(f"{request_id} got {body[:60]!r}")
 
-    async def _operate_forever(self) -> None:
+    async def _publish_forever(self) -> None:
         while True:
             await self._publish()
             await trio.sleep(self.rng.uniform(0.1, 0.8))
 
-    async def _read_forever(self) -> None:
-        """Read the configuration at any registry; nobody may show one of the past."""
+    async def _read_configuration_forever(self) -> None:
+        """Read the configuration from random registries; none may return a stale version."""
         while True:
-            version, at = self.acked
-            old = trio.current_time() - at > PROMISED_SECONDS
-            status, read = await self._call(self.rng.choice(REGISTRIES), "GET", "/config/get")
+            version, at = self.accepted
+            old = trio.current_time() - at > MAX_STALENESS_SECONDS
+            status, read = await self._call_registry(
+                self.rng.choice(REGISTRIES), "GET", "/config/get"
+            )
             if status == 200 and old and read["version"] < version:
-                self.broken.append(f"read {read['version']} after {version} was accepted")
+                self.violations.append(
+                    f"read version {read['version']} after {version} was accepted"
+                )
             await trio.sleep(0.1)
 
-    async def _break_forever(self) -> None:
-        """Break things, one after the other and over each other."""
+    async def _inject_faults_forever(self) -> None:
+        """Inject random faults, which may overlap."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self.rng.uniform(0.1, 0.9))
                 fault = self.rng.choice(
-                    (self._freeze, self._kill, self._stop, self._hang_up, self._turn, self._turn)
+                    (
+                        self._freeze,
+                        self._kill,
+                        self._stop,
+                        self._send_sighup,
+                        self._disturb_connections,
+                        self._disturb_connections,
+                    )
                 )
                 nursery.start_soon(fault)
 
-    def _pick(self) -> str | None:
-        """Return a process to break; one registry and a third of the gateways may be down."""
+    def _pick_process(self) -> str | None:
+        """Return a process for a fault, or None if too many are down.
+
+        At most one registry and a third of the gateways are down at a time.
+        """
         name = self.rng.choice((*REGISTRIES, *self.gateways))
-        most = max(1, len(self.gateways) // 3) if name in self.gateways else 1
+        max_down = max(1, len(self.gateways) // 3) if name in self.gateways else 1
         down = sum(other[0] == name[0] for other in self.down)
-        return name if down < most and name not in self.down else None
+        return name if down < max_down and name not in self.down else None
 
     async def _freeze(self) -> None:
-        if (name := self._pick()) is None:
+        if (name := self._pick_process()) is None:
             return
-        self._note(f"freeze {name}")
+        self._record_fault(f"freeze {name}")
         self.down.add(name)
-        self._disturb(name)
+        self._mark_disturbed(name)
         self.site.signal(name, signal.SIGSTOP)
         with trio.CancelScope(shield=True):
             await trio.sleep(self.rng.uniform(0.2, 2.0))
         self.site.signal(name, signal.SIGCONT)
-        self._disturb(name)
+        self._mark_disturbed(name)
         self.down.discard(name)
 
     async def _kill(self) -> None:
-        if (name := self._pick()) is None:
+        if (name := self._pick_process()) is None:
             return
-        self._note(f"kill {name}")
+        self._record_fault(f"kill {name}")
         self.down.add(name)
-        self._disturb(name)
+        self._mark_disturbed(name)
         self.site.kill(name)
         with trio.CancelScope(shield=True):
             await trio.sleep(self.rng.uniform(0.0, 1.0))
-        self._disturb(name)
+        self._mark_disturbed(name)
         self.site.start(name)
         self.down.discard(name)
 
     async def _stop(self) -> None:
-        """Stop a process gracefully, as a release does, and start it again."""
-        if (name := self._pick()) is None:
+        """Stop a process gracefully, as a deployment does, and restart it."""
+        if (name := self._pick_process()) is None:
             return
-        self._note(f"stop {name}")
+        self._record_fault(f"stop {name}")
         self.down.add(name)
         self.site.signal(name, signal.SIGTERM)
         with trio.CancelScope(shield=True):
-            ended = await ends_within(STOP_SECONDS, lambda: self.site.alive(name))
+            ended = await ends_within(STOP_TIMEOUT_SECONDS, lambda: self.site.alive(name))
         if not ended:
-            self.broken.append(f"{name} did not end in its time")
+            self.violations.append(f"{name} did not stop in time")
             self.site.kill(name)
-        self._disturb(name)
+        self._mark_disturbed(name)
         self.site.start(name)
         self.down.discard(name)
 
-    async def _hang_up(self) -> None:
-        """Send SIGHUP at any age of a process; only one that runs none of our code may end."""
-        if (name := self._pick()) is None or not self.site.alive(name):
+    async def _send_sighup(self) -> None:
+        """Send SIGHUP at any time; it may end only a process that has no handler installed yet."""
+        if (name := self._pick_process()) is None or not self.site.alive(name):
             return
         survives = self.site.survives(name, signal.SIGHUP)
-        self._note(f"hang up {name}, {'handled' if survives else 'too early to be handled'}")
+        self._record_fault(
+            f"SIGHUP to {name}, {'handled' if survives else 'before its handler is installed'}"
+        )
         self.site.signal(name, signal.SIGHUP)
         if survives:
             return
-        # The platform starts what has ended again after a short delay; so does this.
+        # Restarts an ended process after a short delay, as the platform does.
         self.down.add(name)
         with trio.CancelScope(shield=True):
             await trio.sleep(0.3)
@@ -400,69 +438,73 @@
             self.site.start(name)
         self.down.discard(name)
 
-    async def _turn(self) -> None:
-        """Let the connections to one back end misbehave for a while."""
-        valve = self.rng.choice(self.valves)
-        valve.mode = self.rng.choice(("delay", "silent", "one_way", "reset"))
-        self._note(f"{valve.mode} {valve.server.name}")
+    async def _disturb_connections(self) -> None:
+        """Delay, stall or reset the connections to one backend server for a while."""
+        proxy = self.rng.choice(self.proxies)
+        proxy.mode = self.rng.choice(("delay", "silent", "one_way", "reset"))
+        self._record_fault(f"{proxy.mode} {proxy.server.name}")
         with trio.CancelScope(shield=True):
             await trio.sleep(self.rng.uniform(0.2, 1.5))
-        valve.mode = "pass"
-        # What was held up reaches the server now, and its answers may reach nobody any more.
-        for pause in (0.0, HELD_UP_SECONDS):
+        proxy.mode = "pass"
+        # Delayed requests reach the server now, and its answers may find no gateway waiting.
+        for pause in (0.0, DELAYED_DATA_SECONDS):
             await trio.sleep(pause)
             for gateway in self.gateways:
-                self._disturb(gateway, valve.server)
+                self._mark_disturbed(gateway, proxy.server)
 
-    async def _heal(self) -> None:
-        for valve in self.valves:
-            valve.mode = "pass"
+    async def _end_faults(self) -> None:
+        for proxy in self.proxies:
+            proxy.mode = "pass"
         for name in (*REGISTRIES, *self.gateways):
             if not self.site.alive(name):
                 code = self.site.exit_code(name)
-                self.broken.append(f"{name} ended by itself with {code}")
+                self.violations.append(f"{name} ended unexpectedly with exit code {code}")
                 self.site.start(name)
 
-    async def _check_end(self) -> None:
-        """Check what ran against what was answered and asked for, and what is in force."""
+    async def _check_results(self) -> None:
+        """Check the executed requests against their answers and limits, and the final version."""
         for server in self.servers:
-            self.broken += server.account.broken
+            self.violations += server.account.broken
         runs: dict[str, int] = defaultdict(int)
         for server in self.servers:
             for seen in server.seen:
                 if "Request-Id" in seen.headers and seen.ran:
                     runs[seen.headers["Request-Id"]] += 1
-        for request_id, (kind, status) in self.answers.items():
+        for request_id, (kind, status) in self.outcomes.items():
             if kind in ("once", "solo") and runs[request_id] > 1:
-                self.broken.append(f"{request_id} ({kind}) ran {runs[request_id]} times")
-            if kind in ("once", "solo") and status in NOT_RUN and runs[request_id]:
-                self.broken.append(f"{request_id} was said not to have run, with {status}")
+                self.violations.append(f"{request_id} ({kind}) ran {runs[request_id]} times")
+            if kind in ("once", "solo") and status in NOT_RUN_STATUSES and runs[request_id]:
+                self.violations.append(
+                    f"{request_id} ran, but was answered as not run, with status {status}"
+                )
         for name in REGISTRIES:
             with trio.move_on_after(15):
                 while True:
-                    status, read = await self._call(name, "GET", "/config/get")
+                    status, read = await self._call_registry(name, "GET", "/config/get")
                     if status == 200:
                         break
                     await trio.sleep(0.1)
-            if status != 200 or read["version"] < self.acked[0]:
-                self.broken.append(f"{name} ends with {status}, not version {self.acked[0]}")
+            if status != 200 or read["version"] < self.accepted[0]:
+                self.violations.append(
+                    f"{name} ends with status {status}, without version {self.accepted[0]}"
+                )
 
 
 async def ends_within(seconds: float, alive: Callable[[], bool]) -> bool:
-    """Wait for a process to end; tell whether it did within a time in which this process ran.
+    """Wait for a process to end; return whether it did so within the given running time.
 
-    A machine that stands still as a whole stops the observed process and the observer alike.  So
-    the time is counted by the observer's own turns: what passes while it has none proves nothing.
+    The time is counted in polls rather than by the clock, because a stalled machine stops both the
+    observed process and this one: time in which this process does not run is not counted.
     """
-    for _ in range(round(seconds / POLL_SECONDS)):
+    for _ in range(round(seconds / POLL_INTERVAL_SECONDS)):
         if not alive():
             return True
-        await trio.sleep(POLL_SECONDS)
+        await trio.sleep(POLL_INTERVAL_SECONDS)
     return not alive()
 
 
 def run_soak(seed: int, folder: Path, net: int, seconds: float, gateways: int = 2) -> Soak:
-    """Run one seed and return its record."""
+    """Run one seed and return the finished run."""
     names = tuple(f"g{number + 1}" for number in range(gateways))
     sources = [random.Random(seed + number * 1_000_000) for number in range(3)]
     soak = Soak(seed, GroupSite(folder, net), *sources, names)
@@ -474,20 +516,23 @@
 
 
 def main(first: int, count: int, seconds: float = 12.0, gateways: float = 2) -> int:
-    """Run seeds one after the other and print what each found."""
+    """Run seeds in sequence and print the result of each."""
     failed = 0
     for seed in range(first, first + count):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         net = SOAK_BY_HAND[first % len(SOAK_BY_HAND)]
         soak = run_soak(seed, folder, net, seconds, int(gateways))
-        served = sum(n for (_, status), n in soak.served.items() if status == 200)
-        total = sum(soak.served.values())
-        print(f"seed {seed}: {served} of {total} served, {len(soak.faults)} faults", flush=True)
-        for line in soak.broken[:10]:
-            print(f"  BROKEN {line} (logs in {folder})", flush=True)
-        if soak.broken:
+        served_count = sum(n for (_, status), n in soak.status_counts.items() if status == 200)
+        request_count = sum(soak.status_counts.values())
+        print(
+            f"seed {seed}: {served_count} of {request_count} served, {len(soak.faults)} faults",
+            flush=True,
+        )
+        for line in soak.violations[:10]:
+            print(f"  VIOLATION {line} (logs in {folder})", flush=True)
+        if soak.violations:
             (folder / "faults.txt").write_text("\n".join(soak.faults))
-        failed += bool(soak.broken)
+        failed += bool(soak.violations)
     print(f"{count - failed} passed, {failed} failed")
     return 1 if failed else 0
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak in every test run, and each seed that ever failed."""
+"""Short soak runs with fixed seeds, including each seed that has failed before."""
 
 import time
 
@@ -8,45 +8,48 @@
 from siskinspoke.testing.networks import in_turn, soak_nets
 from tests.soak.soak import ends_within, run_soak
 
-SECONDS = 6.0
-# Seeds that failed once, each with its cause.
+RUN_SECONDS = 6.0
+# Seeds that have failed, each with its cause.
 REGRESSIONS: dict[int, str] = {
-    3: "a registry ended by itself; probably SIGHUP before the interpreter came to our code",
-    31: "a gateway and the soak stood still together, and the gateway's stop was counted as late",
-    40: "as with seed 3",
+    3: "a registry ended on its own, probably by SIGHUP before its handler was installed",
+    31: "a gateway and the soak stalled together, and its stop was counted as late",
+    40: "same as seed 3",
 }
 _next_net = in_turn(soak_nets)
 
 
 class TestSoak:
-    """Processes are killed, frozen, stopped; connections are delayed, silenced and reset."""
+    """Processes are killed, frozen and stopped; connections are delayed, stalled and reset."""
 
     @pytest.mark.parametrize("seed", [1, 2, *REGRESSIONS])
-    def test_promises_hold(self, seed, tmp_path):
-        soak = run_soak(seed, tmp_path / "site", _next_net(), SECONDS)
-        assert not soak.broken, soak.broken
-        assert sum(soak.served.values()) > 20
+    def test_invariants_hold(self, seed, tmp_path):
+        soak = run_soak(seed, tmp_path / "site", _next_net(), RUN_SECONDS)
+        assert not soak.violations, soak.violations
+        assert sum(soak.status_counts.values()) > 20
 
 
-class TestStops:
-    """How long a process may take to stop, as the soak counts it."""
+class TestStopTimeout:
+    """The time limit of the soak for a process to stop."""
 
-    STILL_SECONDS = 1.0
+    STALL_SECONDS = 1.0
 
-    def test_machine_stands_still(self):
-        """Observer and process had no processor for 15 s; the stop was then called too late."""
-        ends_at = time.monotonic() + self.STILL_SECONDS + 0.2
+    def test_stalled_machine_is_not_counted(self):
+        """Time in which the observer is not scheduled does not count towards the limit.
+
+        Guards against a stop reported as late after observer and process got no CPU for 15 s.
+        """
+        ends_at = time.monotonic() + self.STALL_SECONDS + 0.2
 
         async def run():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._stand_still)
+                nursery.start_soon(self._stall)
                 return await ends_within(0.6, lambda: time.monotonic() < ends_at)
 
         assert trio.run(run)
 
-    async def _stand_still(self):
+    async def _stall(self):
         await trio.sleep(0.1)
-        time.sleep(self.STILL_SECONDS)
+        time.sleep(self.STALL_SECONDS)
 
-    def test_process_alone_does_not_end(self):
+    def test_running_process_times_out(self):
         assert not trio.run(ends_within, 0.2, lambda: True)
