--- a/siskinspoke/testing/chaos.py
+++ b/siskinspoke/testing/chaos.py
@@ -1,4 +1,4 @@
-"""Seeded faults against a running site while both kinds of traffic flow, and what must hold."""
+"""Seeded fault injection against a running site under load, with invariant checks."""
 
 import random
 import shutil
@@ -23,14 +23,14 @@
 
 
 class CallRecord(NamedTuple):
-    """One keyed call and every answer to it and to its resends."""
+    """A call with an idempotency key, and the outcomes of its first attempt and its retries."""
 
     key: str
     outcomes: list[Outcome]
 
 
 class Chaos:
-    """Own the faults, the traffic and the record of one run."""
+    """Inject faults and generate traffic for one run, and record the outcomes."""
 
     def __init__(self, site: RunningSite, seed: int):
         self.site = site
@@ -41,7 +41,7 @@
         self._traffic = random.Random(seed + 1)
 
     def run(self, seconds: float) -> None:
-        """Run faults and traffic for a time, then heal everything and let traffic end."""
+        """Inject faults under load for ``seconds``, then undo all faults and drain the traffic."""
         trio.run(self._run, seconds)
 
     async def _run(self, seconds: float) -> None:
@@ -66,7 +66,7 @@
         )
 
     async def _call(self, caller: Caller, number: int) -> None:
-        """Call once and resend through other VMs until an answer is final."""
+        """Send a call and retry it through other VMs until an answer is final."""
         record = CallRecord(idempotency_key(f"chaos-{number}"), [])
         self.calls.append(record)
         for _ in range(RESENDS):
@@ -122,7 +122,7 @@
         self._replace_control(empty=True)
 
     def _replace_control(self, empty: bool) -> None:
-        """Kill a replica, perhaps with its disk, and wait until it counts again."""
+        """Kill a replica, optionally wipe its disk, restart it and wait until it is admitted."""
         control = self._rng.choice(self.site.fleet.settings.controls)
         self.site.fleet.kill(control.name)
         if empty:
@@ -135,7 +135,7 @@
             if self.site.fleet.control_status(control.name)["admitted"]:
                 return
             time.sleep(0.1)
-        raise AssertionError(f"{control.name} was not admitted again")
+        raise AssertionError(f"{control.name} was not readmitted within 10 s of its restart")
 
     def _freeze_any(self) -> None:
         fleet = self.site.fleet
@@ -162,7 +162,7 @@
         self._pause()
 
     def heal(self) -> None:
-        """End cuts and freezes; every kill has started its process again already."""
+        """Remove all network cuts and restart every process that is not running."""
         for source in range(3):
             for target in range(3):
                 if source != target:
@@ -177,26 +177,26 @@
                 self.site.restart_server(name)
 
     def violations(self, services: tuple[str, ...]) -> list[str]:
-        """Return everything that must hold and did not."""
+        """Return a description of each violated invariant."""
         runs = self.site.runs_by_subject(*services)
         found = [
-            f"answer {item.request_id} is not the caller's whole answer"
+            f"answer {item.request_id} has status OK but is incomplete or another caller's"
             for item in self.completions
             if item.code == ResultCode.OK and not item.whole
         ]
         limit = TIMEOUT_MS / 1000 + ANSWER_SLACK_SECONDS
         found += [
-            f"an answer came after {item.total:.2f} s: {item}"
+            f"answer arrived after {item.total:.2f} s, past its deadline: {item}"
             for item in self.completions
             if item.total > limit and item.status
         ]
         for record in self.calls:
             count = runs[f"{CUSTOMER}/{record.key}"]
             if count > 1:
-                found.append(f"{record.key} ran {count} times: {record.outcomes}")
+                found.append(f"{record.key} was executed {count} times: {record.outcomes}")
             if any(item.whole for item in record.outcomes) and count != 1:
-                found.append(f"{record.key} was answered but ran {count} times")
+                found.append(f"{record.key} was answered but executed {count} times")
             last = record.outcomes[-1] if record.outcomes else None
             if last is not None and last.run == "not_run" and last.status and count:
-                found.append(f"{record.key} was called not run but ran: {record.outcomes}")
+                found.append(f"{record.key} was reported as not_run but ran: {record.outcomes}")
         return found
--- a/siskinspoke/testing/demo.py
+++ b/siskinspoke/testing/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a whole site on this machine, prompts of every length, checked answers."""
+"""Demonstration: run a whole site on this machine, send prompts of all lengths, check answers."""
 
 import sys
 import time
@@ -22,18 +22,18 @@
 
 
 def folder_in(net: int) -> str:
-    """Return the folder of the demonstration in a network, so that no two share their journals."""
+    """Return the data folder for a network; concurrent demonstrations must not share journals."""
     return EXAMPLE_FOLDER if net == EXAMPLE_NET else f"{EXAMPLE_FOLDER}-{net}"
 
 
 def moved(example: str, net: int) -> str:
-    """Return the example's settings with its VMs in another network, and their folders too."""
+    """Return the example settings with addresses and data folders changed for another network."""
     in_network = example.replace(f'"127.{EXAMPLE_NET}.', f'"127.{net}.')
     return in_network.replace(f'"{EXAMPLE_FOLDER}/', f'"{folder_in(net)}/')
 
 
 def write_moved(root: Path, net: int) -> Path:
-    """Write the settings of the demonstration in a network, and return their file."""
+    """Write the demonstration's settings for a network and return the path of the file."""
     overlay = root / folder_in(net) / "overlay.json"
     overlay.parent.mkdir(parents=True, exist_ok=True)
     overlay.write_text(moved((root / "examples/litoral.json").read_text(), net))
@@ -41,7 +41,7 @@
 
 
 def engine_specs(fleet: Fleet) -> list[EngineSpec]:
-    """Return the stand-ins of the demonstration: engines in each domain, one plain service."""
+    """Return the stand-in servers to start: engines in each failure domain, one plain service."""
     net = networks().demonstration[0]
     specs = []
     for index, domain in enumerate(fleet.settings.failure_domains):
@@ -66,12 +66,12 @@
 
 
 def start(fleet: Fleet) -> None:
-    """Start every process of the site and wait until each knows the others."""
+    """Start every process of the site and wait until it serves."""
     fleet.start_site(engine_specs(fleet))
 
 
 async def send(fleet: Fleet) -> tuple[list[Outcome], list[Outcome]]:
-    """Send prompts of every length side by side, and calls to the plain service."""
+    """Send prompts of all lengths concurrently, and calls to the plain service."""
     completions: list[Outcome] = []
     calls: list[Outcome] = []
     entries = [(entry.host, entry.port) for entry in fleet.settings.entries]
@@ -101,8 +101,8 @@
 
 
 def report(completions: list[Outcome], calls: list[Outcome], seconds: float) -> bool:
-    """Print time to first token by length and counts; tell whether all was whole."""
-    print(f"{'prompt tokens':>14} {'answers':>8} {'whole':>6} {'first token, ms (each)':<40}")
+    """Print counts and times to first token by prompt length; return whether all succeeded."""
+    print(f"{'prompt tokens':>14} {'answers':>8} {'whole':>6} {'time to first token, ms':<40}")
     for tokens in LENGTHS:
         found = [item for item in completions if item.prompt_tokens == tokens]
         whole = sum(item.whole for item in found)
@@ -110,16 +110,16 @@
         shown = "  ".join(f"{item:.0f}" for item in times)
         print(f"{tokens:>14,} {len(found):>8} {whole:>6} {shown:<40}")
     ran = sum(item.whole for item in calls)
-    print(f"calls that may run only once: {len(calls)}, answered {ran}")
+    print(f"non-idempotent calls: {len(calls)}, answered {ran}")
     failed = [item for item in [*completions, *calls] if not item.whole]
     for item in failed:
-        print(f"not whole: {item}")
-    print(f"{len(completions) + len(calls)} requests, {len(failed)} not whole, {seconds:.1f} s")
+        print(f"failed: {item}")
+    print(f"{len(completions) + len(calls)} requests, {len(failed)} failed, {seconds:.1f} s")
     return not failed
 
 
 def main() -> int:
-    """Run the demonstration from the example settings of the site Litoral."""
+    """Run the demonstration with the example settings of the site Litoral."""
     began = time.monotonic()
     root = Path.cwd()
     write_keys(root / "run" / "keys")
