--- a/siskinspoke/testing/elastic_group.py
+++ b/siskinspoke/testing/elastic_group.py
@@ -1,4 +1,4 @@
-"""Drive a replica group whose members come and go through one schedule of faults."""
+"""Simulate a replica group with membership changes under a schedule of faults."""
 
 import random
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 
 class ElasticGroup(ReplicaGroup):
-    """Three founders, others that join, and machines that are replaced for good."""
+    """A group of three founders and replicas that join later, with permanent replacements."""
 
     def __init__(self, count: int, seed: int, kind: type[Replica] = Replica):
         self.contacts = tuple(f"r{number}" for number in range(FOUNDERS))
@@ -21,7 +21,10 @@
         super().__init__(count, seed, kind)
 
     def start(self, name: str) -> None:
-        """Start a replica from its disk; an emptied founder may not found again."""
+        """Start a replica from its disk.
+
+        Founders may create the group only at time 0: one that lost its disk later has to join.
+        """
         disk = self.disks[name]
         self.unsynced[name] = []
         found = name in self.contacts and self.now == 0.0
@@ -38,16 +41,16 @@
         self.applied[name] = list(disk.snapshot.document["applied"]) if disk.snapshot else []
 
     def settled(self) -> bool:
-        """Tell whether one leads, all hold the same, and no fault waits to be healed."""
+        """Return whether the group has converged and no replacement is pending."""
         return super().settled() and self.gone is None
 
     def empty_disk(self, name: str) -> None:
-        """Lose a disk, unless another loss has not healed yet."""
+        """Wipe a replica's disk, unless a replacement is still in progress."""
         if self.gone is None:
             super().empty_disk(name)
 
     def replace(self, name: str) -> None:
-        """Take a machine away for good; an empty one comes under another name."""
+        """Remove a machine permanently and start an empty one under a new name."""
         if self.gone is not None or self.unhealed is not None or not self._all_founded():
             return
         self.gone = name
@@ -68,12 +71,12 @@
                 replica.set_contacts(self.contacts)
 
     def deliver(self, choice: int) -> None:
-        """Deliver one message; those to a machine that is gone are lost."""
+        """Deliver one message, after discarding those addressed to removed machines."""
         self.in_flight = [item for item in self.in_flight if item[1] in self.replicas]
         super().deliver(choice)
 
     def step(self, number: int) -> None:
-        """Take the step that a number names; some replace a machine."""
+        """Execute the step encoded by a number; one in 64 replaces a machine."""
         if number % 64 == 63:
             self.replace(self.names[(number // 64) % len(self.names)])
             self.check()
@@ -81,10 +84,10 @@
         super().step(number)
 
     def check(self) -> None:
-        """Note a replacement that is complete, beside what always holds.
+        """Check the invariants, and clear the pending replacement once it is complete.
 
-        A group of odd size may go on counting the one that is gone: it can lose as many of the
-        others as the next smaller, even one.
+        A group of odd size may keep the removed machine as a member: it tolerates the loss of as
+        many of the others as the next smaller group, whose size is even.
         """
         super().check()
         for replica in self.replicas.values():
@@ -95,17 +98,19 @@
                     self.gone = self.successor = None
 
     def check_members(self) -> None:
-        """Raise where a machine that is there has no vote after healing."""
+        """Raise InvariantError if a running machine is not a member after the group has healed."""
         for name, replica in self.replicas.items():
             counted, present = set(replica.members), set(self.names)
             if not present <= counted or len(counted - present) > len(counted) % 2:
-                raise InvariantError(f"{name} counts {sorted(counted)}, not {sorted(present)}")
+                raise InvariantError(
+                    f"{name} has members {sorted(counted)}, expected {sorted(present)}"
+                )
 
 
 def run_elastic_schedule(
     count: int, seed: int, steps: Iterator[int], kind: type[Replica] = Replica
 ) -> ElasticGroup:
-    """Found a group that others join, run faults and replacements, heal, and check."""
+    """Run a schedule of faults and replacements, heal, and check that no command was lost."""
     group = ElasticGroup(count, seed, kind)
     group.heal(6_000)
     for number in steps:
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -1,7 +1,7 @@
-"""Drive several replicas' decisions through one schedule of faults, without processes.
+"""Simulate a group of replicas under a schedule of faults, in one process and virtual time.
 
-A schedule is a stream of whole numbers; each one chooses the next step.  The same numbers give
-the same run, so a failing schedule can be shrunk and kept.
+A schedule is a sequence of integers, each of which encodes one step.  Equal schedules give equal
+runs, so a failing schedule can be shrunk and kept as a regression test.
 """
 
 import random
@@ -24,18 +24,18 @@
 MAX_IN_FLIGHT = 400
 COMPACT_EVERY = 12
 COMMAND = "command"
-# Share of commits that reach the disk before the next record does.
+# Probability that a commit index reaches the disk before the next record is written.
 SAVED_COMMITS = 0.3
 # Probabilities that a replica syncs directly after an output, and after a tick.
 SYNCED_AFTER_OUTPUT, SYNCED_AFTER_TICK = 0.5, 0.8
 
 
 class InvariantError(AssertionError):
-    """Something that must always hold did not."""
+    """A safety property of the replica group was violated."""
 
 
 class Disk:
-    """What one replica has synced."""
+    """The synced state of one replica."""
 
     def __init__(self) -> None:
         self.identity: Identity | None = None
@@ -43,7 +43,7 @@
         self.records: list[HardState | Admitted | Committed | Entry] = []
 
     def write(self, out: Output) -> None:
-        """Write the persistent part of an output."""
+        """Persist the identity, snapshot and records of an output."""
         if out.identity is not None:
             self.identity = out.identity
         if out.snapshot is not None:
@@ -52,12 +52,12 @@
             self.records.extend(out.records)
 
     def restored(self) -> Restored:
-        """Return what a restarted replica finds."""
+        """Return the state that a restarted replica recovers."""
         return restored_from(self.identity, self.snapshot, self.records)
 
 
 class ReplicaGroup:
-    """Replicas, their disks and the messages between them, all in one place."""
+    """Replicas, their simulated disks and the messages in flight between them."""
 
     def __init__(self, count: int, seed: int, kind: type[Replica] = Replica):
         self.names = [f"r{number}" for number in range(count)]
@@ -93,13 +93,13 @@
         self.applied[name] = list(snapshot.document["applied"]) if snapshot else []
 
     def crash(self, name: str) -> None:
-        """Kill a replica; what it had not synced is gone."""
+        """Stop a replica; unsynced outputs are lost."""
         self.replicas[name] = None
         self.unsynced[name] = []
         self.frozen.discard(name)
 
     def empty_disk(self, name: str) -> None:
-        """Kill a replica and lose its disk, unless another one has not healed yet."""
+        """Stop a replica and wipe its disk, unless another wiped one is not yet readmitted."""
         if self.unhealed is not None or not self._all_founded():
             return
         self.unhealed = name
@@ -111,7 +111,7 @@
         return all(disk.identity is not None for disk in self.disks.values())
 
     def step(self, number: int) -> None:
-        """Take the step that a number names."""
+        """Execute the step encoded by a number, then check the invariants."""
         kind, choice = number % 32, number // 32
         name = self.names[choice % len(self.names)]
         other = self.names[(choice // len(self.names)) % len(self.names)]
@@ -143,23 +143,23 @@
         self.check()
 
     def restart_dead(self) -> None:
-        """Start every replica that is down."""
+        """Start every stopped replica."""
         for name, replica in self.replicas.items():
             if replica is None:
                 self.start(name)
 
     def drop(self, choice: int) -> None:
-        """Lose one message."""
+        """Drop one message."""
         if self.in_flight:
             del self.in_flight[choice % len(self.in_flight)]
 
     def duplicate(self, choice: int) -> None:
-        """Deliver one message twice."""
+        """Duplicate one message."""
         if self.in_flight:
             self.in_flight.append(self.in_flight[choice % len(self.in_flight)])
 
     def deliver(self, choice: int) -> None:
-        """Deliver one message, not always the oldest."""
+        """Deliver one of the four oldest messages."""
         if not self.in_flight:
             return
         sender, to, item = self.in_flight.pop(choice % min(len(self.in_flight), 4))
@@ -173,7 +173,7 @@
         self._carry_out(to, replica.take_output())
 
     def pass_time(self, milliseconds: float) -> None:
-        """Let time pass; each replica that is awake looks at the clock."""
+        """Advance the clock and tick each running replica that is not frozen."""
         self.now += milliseconds
         for name, replica in self.replicas.items():
             if replica is not None and name not in self.frozen:
@@ -183,7 +183,7 @@
                     self.sync(name)
 
     def propose(self) -> None:
-        """Give every replica that believes to lead a command."""
+        """Propose a command at every replica that considers itself leader."""
         for name, replica in self.replicas.items():
             if replica is None or name in self.frozen or replica.role is not Role.LEADER:
                 continue
@@ -192,7 +192,7 @@
             self._carry_out(name, replica.take_output())
 
     def _carry_out(self, name: str, out: Output) -> None:
-        """Send, apply and write, as the owner of a replica does."""
+        """Send messages, apply entries and queue writes, as the host of a replica does."""
         replica, unsynced = self.replicas[name], self.unsynced[name]
         if out.snapshot is not None:
             self.applied[name] = list(out.snapshot.document["applied"])
@@ -213,7 +213,7 @@
             self.sync(name)
 
     def sync(self, name: str) -> None:
-        """Write all unsynced outputs to disk, then send the messages that depend on them."""
+        """Write all unsynced outputs to disk, then send the messages that had to wait for them."""
         replica, disk = self.replicas[name], self.disks[name]
         while replica is not None and self.unsynced[name]:
             waiting = self.unsynced[name]
@@ -239,10 +239,13 @@
         self.applied[name].append((entry.index, entry.kind, entry.body))
         known = self.accepted.setdefault(entry.index, (entry.kind, entry.body))
         if known != (entry.kind, entry.body):
-            raise InvariantError(f"index {entry.index} accepted as {known} and as {entry}")
+            raise InvariantError(f"index {entry.index} was committed as {known} and as {entry}")
 
     def check(self) -> None:
-        """Raise where two lead one term; note a replaced disk that counts again."""
+        """Raise InvariantError if two replicas led one term.
+
+        Also clears ``unhealed`` once the replica with the wiped disk is admitted.
+        """
         emptied = self.replicas.get(self.unhealed)
         if emptied is not None and emptied.admitted:
             self.unhealed = None
@@ -253,7 +256,7 @@
                     raise InvariantError(f"{leader} and {name} both led term {replica.term}")
 
     def heal(self, milliseconds: float = 20_000) -> None:
-        """End all faults and let the group settle."""
+        """Remove all faults and run until the group has converged, or for ``milliseconds``."""
         self.cuts.clear()
         self.frozen.clear()
         self.restart_dead()
@@ -265,7 +268,7 @@
             self.check()
 
     def settled(self) -> bool:
-        """Tell whether one leads and all hold the same."""
+        """Return whether the group has one leader and all replicas have the same log committed."""
         leaders = [r for r in self.replicas.values() if r is not None and r.role is Role.LEADER]
         live = [replica for replica in self.replicas.values() if replica is not None]
         return (
@@ -277,16 +280,16 @@
         )
 
     def check_nothing_lost(self) -> None:
-        """Raise where an accepted command is missing at a replica after healing."""
+        """Raise InvariantError if a replica lacks a committed command after healing."""
         for name in self.names:
             held = {index: (kind, body) for index, kind, body in self.applied[name]}
             for index, (kind, body) in self.accepted.items():
                 if kind != NOOP and held.get(index) != (kind, body):
-                    raise InvariantError(f"{name} lacks accepted {index}: {kind} {body}")
+                    raise InvariantError(f"{name} lacks committed entry {index}: {kind} {body}")
 
 
 def numbers(seed: int, count: int) -> Iterator[int]:
-    """Yield the numbers of one random schedule."""
+    """Yield the steps of one random schedule."""
     rng = random.Random(seed)
     for _ in range(count):
         yield rng.randrange(2**16)
@@ -295,7 +298,7 @@
 def run_schedule(
     count: int, seed: int, steps: Iterator[int], kind: type[Replica] = Replica
 ) -> ReplicaGroup:
-    """Found a group, run a schedule of faults, heal, and check that nothing is lost."""
+    """Run a schedule of faults on a new group, heal, and check that no command was lost."""
     group = ReplicaGroup(count, seed, kind)
     group.heal(3_000)
     for number in steps:
