--- a/siskinspoke/testing/fleet.py
+++ b/siskinspoke/testing/fleet.py
@@ -1,6 +1,7 @@
-"""Start a whole site as separate processes on loopback addresses, and end them by id.
+"""Run a complete site as separate processes on loopback addresses.
 
-Only demonstrations and tests use this: no process of the system starts another.
+Only tests, benchmarks and demonstrations use this: no process of the system starts another.
+Processes are stopped by their ids.
 """
 
 import os
@@ -25,7 +26,7 @@
 
 
 class EngineSpec(NamedTuple):
-    """A stand-in engine to start; ``flags`` go to its command line."""
+    """A stand-in backend server to start; ``flags`` are appended to its command line."""
 
     name: str
     failure_domain: str
@@ -38,27 +39,27 @@
 
 
 class FleetError(Exception):
-    """A process did not do what the test needs of it."""
+    """A process did not reach the expected state in time."""
 
 
 def wait_until(condition: Callable[[], bool], what: str, seconds: float = READY_SECONDS) -> None:
-    """Wait for a condition; raise FleetError when it does not come true."""
+    """Poll a condition until it holds; raise FleetError after ``seconds``."""
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
-            raise FleetError(f"not within {seconds} s: {what}")
+            raise FleetError(f"timed out after {seconds} s waiting for: {what}")
         time.sleep(POLL_SECONDS)
 
 
 def port_open(host: str, port: int) -> bool:
-    """Tell whether something listens."""
+    """Return whether a TCP port accepts connections."""
     with socket.socket() as probe:
         probe.settimeout(0.2)
         return probe.connect_ex((host, port)) == 0
 
 
 def write_keys(folder: Path) -> None:
-    """Make the keys that the settings name, where they are missing."""
+    """Create the key files named by the settings, unless they exist."""
     folder.mkdir(parents=True, exist_ok=True)
     for name in ("internal.key", "operator.key"):
         path = folder / name
@@ -68,7 +69,7 @@
 
 
 class Fleet:
-    """Own the processes of one site, each known by the name of its VM or server."""
+    """The processes of one site, addressed by the names of their VMs or backend servers."""
 
     def __init__(self, folder: Path, base: Path, overlay: Path, program: tuple[str, ...] = ()):
         self.folder = folder
@@ -88,7 +89,7 @@
         self.close()
 
     def start(self, name: str, *arguments: str) -> None:
-        """Start one process; its output goes to a file of its name."""
+        """Start one process; its output is appended to ``logs/<name>.log``."""
         log = (self.folder / "logs" / f"{name}.log").open("ab")
         program = self._program
         if self.mutant:
@@ -103,7 +104,10 @@
         log.close()
 
     def _settings_flags(self, name: str) -> tuple[str, str]:
-        """Return the settings of one VM; behind the proxy each sees the others elsewhere."""
+        """Return the settings flags of one VM.
+
+        Behind the proxy each VM has an overlay of its own, with the others at proxy addresses.
+        """
         view = self.folder / f"view-{name}.json"
         overlay = view if view.exists() else self.overlay
         return f"--base={self.base}", f"--overlay={overlay}"
@@ -117,7 +121,7 @@
         self.start(name, "control", *self._settings_flags(name), f"--name={name}")
 
     def start_site(self, specs: list[EngineSpec]) -> None:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until the site serves."""
         for control in self.settings.controls:
             self.start_control(control.name)
         for entry in self.settings.entries:
@@ -129,7 +133,7 @@
         self.wait_leader()
 
     def leader(self) -> str | None:
-        """Return the replica that says it leads the highest term, if any does."""
+        """Return the replica that reports leadership of the highest term, if any."""
         found = []
         for control in self.settings.controls:
             if self.running(control.name) and control.name not in self._frozen:
@@ -147,10 +151,11 @@
         return self.leader()
 
     def wait_caught_up(self, name: str) -> None:
-        """Wait until a replica that was started again holds all that its leader has committed.
+        """Wait until a restarted replica holds everything that the leader has committed.
 
-        To stop the next one of three sooner leaves one alone, and no claim is granted until
-        this one is up: a leader that still answers is no sign that it may be stopped too.
+        Stopping another of three replicas before that leaves a single one, and no claim is
+        granted until the restarted one has caught up.  That the leader still answers does not
+        mean that it is safe to stop.
         """
 
         def is_caught_up() -> bool:
@@ -166,7 +171,10 @@
         wait_until(is_caught_up, f"{name} caught up with its leader")
 
     def start_server(self, spec: EngineSpec, announce: list[tuple[str, int]] | None = None) -> None:
-        """Start a stand-in backend server; it announces to its own failure domain."""
+        """Start a stand-in backend server.
+
+        By default it announces itself to the entry VMs of its own failure domain.
+        """
         if announce is None:
             announce = [
                 (entry.host, entry.internal_port)
@@ -176,8 +184,8 @@
         addresses = ",".join(f"{host}:{port}" for host, port in announce)
         key = self.folder / "announce.key"
         if not key.exists() or key.read_bytes() != self.settings.internal_key:
-            # Not written anew: a server that starts at this moment would find the file empty, seal
-            # its announcements with an empty key, and be heard by nobody.
+            # The file is not rewritten when unchanged: a server that reads it while it is
+            # truncated would seal its announcements with an empty key, and all would be rejected.
             key.write_bytes(self.settings.internal_key)
         self.start(
             spec.name,
@@ -194,18 +202,18 @@
         )
 
     def wait_listening(self, host: str, port: int) -> None:
-        """Wait until a process listens."""
+        """Wait until a TCP port accepts connections."""
         wait_until(lambda: port_open(host, port), f"a listener on {host}:{port}")
 
     def wait_entries(self, names: list[str] | None = None) -> None:
-        """Wait until entry daemons answer."""
+        """Wait until entry daemons listen on their public and internal ports."""
         for entry in self.settings.entries:
             if names is None or entry.name in names:
                 self.wait_listening(entry.host, entry.port)
                 self.wait_listening(entry.host, entry.internal_port)
 
     def wait_servers(self, count: int, names: list[str] | None = None) -> None:
-        """Wait until entry daemons know ``count`` backend servers each."""
+        """Wait until each entry daemon knows at least ``count`` backend servers."""
         for entry in self.settings.entries:
             if names is None or entry.name in names:
                 wait_until(
@@ -214,17 +222,17 @@
                 )
 
     def status(self, name: str) -> dict:
-        """Return what an entry VM believes."""
+        """Return the status document of an entry VM."""
         entry = self.settings.entry(name)
         return self.get(entry.host, entry.internal_port, "/v1/status")
 
     def control_status(self, name: str) -> dict:
-        """Return what a control replica believes."""
+        """Return the status document of a control replica."""
         control = self.settings.control_vm(name)
         return self.get(control.host, control.port, "/v1/status")
 
     def get(self, host: str, port: int, path: str) -> dict:
-        """Fetch a JSON document as an operator."""
+        """Fetch a JSON document with the operator key."""
         headers = {"Authorization": f"Bearer {self.settings.operator_key}"}
         response = httpx.get(
             f"http://{host}:{port}{path}", headers=headers, timeout=2, trust_env=False
@@ -232,35 +240,35 @@
         return msgspec.json.decode(response.content)
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process that this fleet started."""
+        """Send a signal to one process of this fleet."""
         self._processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process without warning and wait for its end."""
+        """Kill a process with SIGKILL and wait for it to exit."""
         self.thaw(name)
         process = self._processes.pop(name)
         process.kill()
         process.wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process in its tracks; its connections stay open."""
+        """Suspend a process with SIGSTOP; its connections stay open."""
         self.signal(name, signal.SIGSTOP)
         self._frozen.add(name)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process with SIGCONT."""
         if name in self._frozen:
             self._frozen.discard(name)
             self.signal(name, signal.SIGCONT)
 
     def terminate(self, name: str) -> subprocess.Popen:
-        """Ask a process to shut down in good order."""
+        """Request a graceful shutdown with SIGTERM."""
         process = self._processes[name]
         process.terminate()
         return process
 
     def running(self, name: str) -> bool:
-        """Tell whether a process runs."""
+        """Return whether a process is running."""
         process = self._processes.get(name)
         return process is not None and process.poll() is None
 
@@ -269,11 +277,11 @@
         return self._processes[name].pid
 
     def log(self, name: str) -> str:
-        """Return what a process has printed."""
+        """Return the output of a process."""
         return (self.folder / "logs" / f"{name}.log").read_text(errors="replace")
 
     def close(self) -> None:
-        """End every process that this fleet started."""
+        """Kill every process that this fleet started."""
         for name in list(self._frozen):
             self.thaw(name)
         for process in self._processes.values():
--- a/siskinspoke/testing/group_site.py
+++ b/siskinspoke/testing/group_site.py
@@ -1,4 +1,7 @@
-"""Registries and gateways as real processes on loopback addresses, ended by their ids."""
+"""Run registries and gateways as separate processes on loopback addresses.
+
+Processes are stopped by their ids.
+"""
 
 import json
 import os
@@ -18,9 +21,9 @@
 
 
 class GroupSite:
-    """Own the processes of one site, each known by the name of its VM.
+    """The processes of one site, addressed by the names of their VMs.
 
-    All such sites of a run lie in one network; ``net`` is the third octet of this one.
+    All such sites of a run share one network; ``net`` is the third octet of this site's addresses.
     """
 
     def __init__(self, folder: Path, net: int):
@@ -31,12 +34,15 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def host_of(self, name: str) -> str:
-        """Return the address of a VM: registries are c1, c2 and so on, gateways g1 and so on."""
+        """Return the address of a VM; registries are named c1, c2, ..., gateways g1, g2, ..."""
         offset = 0 if name.startswith("c") else 100
         return f"{self._net}.{offset + int(name[1:])}"
 
     def start(self, name: str, found: bool = False, mutant: str | None = None) -> None:
-        """Start a registry or gateway, optionally with one of ``siskinspoke.testing.mutants``."""
+        """Start a registry or gateway, optionally with a mutant of ``siskinspoke.testing.mutants``.
+
+        ``found`` is the setting that lets a registry create the group.
+        """
         host = self.host_of(name)
         document = {
             "name": name,
@@ -68,10 +74,10 @@
             )
 
     def survives(self, name: str, number: int) -> bool:
-        """Tell whether a process handles or ignores a signal that would otherwise end it.
+        """Return whether a process handles or ignores a signal that is fatal by default.
 
-        The interpreter takes 20 to 100 ms, longer on a busy machine, to come to our first line;
-        until then no program can help ending.
+        The interpreter takes 20 to 100 ms, more on a busy machine, to reach the program's first
+        line; no program can install a handler before that.
         """
         status = Path(f"/proc/{self.pid(name)}/status").read_text()
         masks = dict(line.split(":\t") for line in status.splitlines() if line.startswith("Sig"))
@@ -79,7 +85,7 @@
         return any(int(masks[mask], 16) & bit for mask in ("SigCgt", "SigIgn"))
 
     def exit_code(self, name: str) -> int | None:
-        """Return how a process ended, minus the signal's number; None while it runs."""
+        """Return the exit code of a process, -N if signal N killed it, or None while it runs."""
         return self._processes[name].poll()
 
     def signal(self, name: str, number: int) -> None:
@@ -87,7 +93,7 @@
         self._processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process and wait for its end."""
+        """Kill a process with SIGKILL and wait for it to exit."""
         process = self._processes.pop(name)
         process.kill()
         process.wait(STOP_SECONDS)
@@ -97,15 +103,15 @@
         return self._processes[name].pid
 
     def alive(self, name: str) -> bool:
-        """Tell whether a process still runs."""
+        """Return whether a process is still running."""
         return self._processes[name].poll() is None
 
     def empty_disk(self, name: str) -> None:
-        """Remove what a registry that is down has on its disk."""
+        """Delete the data folder of a stopped registry."""
         shutil.rmtree(self.folder / f"data-{name}", ignore_errors=True)
 
     def close(self) -> None:
-        """End everything."""
+        """Kill all processes, including suspended ones."""
         for process in self._processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -113,7 +119,7 @@
             process.wait(STOP_SECONDS)
 
     def call(self, name: str, method: str, path: str, body: object = None) -> tuple[int, object]:
-        """Call a registry; the status is 0 where nobody answers."""
+        """Send a request to a registry; return status and body, status 0 if there is no answer."""
         url = f"http://{self.host_of(name)}:{OPERATORS_PORT}{path}"
         try:
             response = httpx.request(method, url, json=body, timeout=1.0, trust_env=False)
@@ -122,7 +128,7 @@
         return response.status_code, response.json() if response.content else None
 
     def until(self, name: str, method: str, path: str, body: object = None) -> object:
-        """Call a registry until it answers with success, as operators do; return the body."""
+        """Retry a request to a registry until it succeeds, as operators do; return the body."""
         found: list[object] = []
 
         def succeeds() -> bool:
@@ -134,7 +140,7 @@
         return found[0]
 
     def status(self, gateway: str, path: str, host: str) -> int:
-        """Return the status that a client gets from a gateway; 0 where nobody answers."""
+        """Return the status that a client gets from a gateway, or 0 if there is no answer."""
         url = f"http://{self.host_of(gateway)}:{PUBLIC_PORT}{path}"
         headers = {"Host": host, "Request-Id": "t1", "Deadline-Ms": "1000"}
         try:
@@ -143,7 +149,7 @@
             return 0
 
     def wait_status(self, gateway: str, path: str, host: str, status: int) -> None:
-        """Wait until clients of a gateway get a status."""
+        """Wait until a gateway answers its clients with a given status."""
         wait_until(
             lambda: self.status(gateway, path, host) == status, f"{status} for {path} at {gateway}"
         )
