--- a/siskinspoke/testing/mutants.py
+++ b/siskinspoke/testing/mutants.py
@@ -1,6 +1,6 @@
-"""Run the program with one guard switched off, to show that its proof then fails.
+"""Run the program with one safety check disabled, to show that its test then fails.
 
-``slow_syncs`` leaves all guards on and simulates a slow disk.
+``slow_syncs`` leaves all checks enabled and simulates a slow disk.
 
 Usage: python -m siskinspoke.testing.mutants NAME COMMAND [FLAGS]
 """
@@ -34,7 +34,7 @@
 
 
 def any_incarnation() -> None:
-    """Believe a restarted server about what it ran before."""
+    """Accept a restarted server's answer about calls that its previous incarnation ran."""
     original = Backend.post
 
     async def post(self, target, path, body, *rest):
@@ -45,7 +45,7 @@
 
 
 def unknown_is_not_run() -> None:
-    """Take a call that broke off for one that never began."""
+    """Treat a call with an unknown outcome as one that was never started."""
 
     async def find_out(context, target, request, attempt):
         return True
@@ -54,7 +54,7 @@
 
 
 def any_version() -> None:
-    """Ask for any version and install whatever a control replica offers."""
+    """Request any configuration version and install whatever a control replica returns."""
     original = ControlClient.configuration_after
 
     async def configuration_after(self, version, wait_ms):
@@ -70,12 +70,12 @@
 
 
 def no_lease() -> None:
-    """Keep sending to servers that announce themselves no more."""
+    """Keep routing to servers whose announcement lease has expired."""
     Directory._is_live = lambda self, record, now: not record.announcement.leaving
 
 
 def leaving_unheard() -> None:
-    """Overlook that a server leaves."""
+    """Ignore the leaving flag in servers' announcements."""
     original = Directory.hear
 
     def hear(self, announcement, now):
@@ -85,17 +85,17 @@
 
 
 def no_engine_lease() -> None:
-    """Let attempts and reservations outlive their owners."""
+    """Never expire the leases of attempts and reservations at an engine."""
     EngineModel.expire = lambda self, now: None
 
 
 def frozen_is_busy() -> None:
-    """Wait for a silent server for as long as its connection stands."""
+    """Wait for a silent server for as long as its connection is open."""
     EntryContext.is_alive = lambda self, target: True
 
 
 def slow_syncs() -> None:
-    """Delay the return of every file sync, as on a slow disk."""
+    """Delay the return of every fsync and fdatasync, as on a slow disk."""
 
     def add_delay(sync: Callable[[int], None]) -> Callable[[int], None]:
         def delayed_sync(descriptor: int) -> None:
--- a/siskinspoke/testing/networks.py
+++ b/siskinspoke/testing/networks.py
@@ -1,18 +1,19 @@
-"""The loopback networks of one run of the tests, the demonstration or the benches.
+"""Allocate loopback networks to runs of the tests, the demonstration and the benchmarks.
 
-Two runs on one machine must not listen at the same addresses, so one environment variable,
-``SISKINSPOKE_FIRST_NET`` (a whole number, 10 where it is not set), moves all that a run takes.
-It is read here and nowhere else.  A network is a second octet of 127.0.0.0/8; a run needs 70:
+Concurrent runs on one machine must not listen on the same addresses.  The environment variable
+``SISKINSPOKE_FIRST_NET`` (an integer, 10 by default) sets the first network of a run; only this
+module reads it.  A network is identified by the second octet of an address in 127.0.0.0/8.  A run
+uses 70 networks:
 
 * first + 0: the demonstration.
-* first + 1: sites of registries and gateways; each has a third octet of its own.
-* first + 2 and 3: the benches.
-* first + 4 to 9: nothing, so that test sites keep round numbers.
+* first + 1: sites of registries and gateways, distinguished by their third octets.
+* first + 2 and 3: the benchmarks.
+* first + 4 to 9: unused, so that test sites start at a round number.
 * first + 10 to 69: test sites, 20 for each of the 3 workers that ``scripts/test`` starts.
 
-The fault proxy of a site listens in the site's own network, at higher third octets.  As a run
-stays within 127.1 to 127.254, the first network is 1 to 185, and three runs have room side by
-side: 10, 80 and 150.
+The fault proxy of a site listens in the site's own network, at higher third octets.  A run has to
+stay within 127.1 to 127.254, so the first network is 1 to 185.  Three concurrent runs fit, starting
+at 10, 80 and 150.
 """
 
 import itertools
@@ -31,17 +32,17 @@
 
 
 class Share(NamedTuple):
-    """How the networks of one kind are dealt out: where they begin, and how many a worker has."""
+    """How octets of one kind are allocated to test workers: the first, and the count for each."""
 
     first: int
     per_worker: int
 
 
-# Counted from the first network of the run.
+# Second octets, as offsets from the first network of the run.
 SITES = Share(10, 20)
 NETS_PER_RUN = SITES.first + SITES.per_worker * WORKERS
 
-# Third octets within the one network of the sites of registries and gateways.
+# Third octets within the network that all sites of registries and gateways share.
 SOAKS = Share(60, 3)
 FEED_SLOPES = 88
 SOAK_BY_HAND = range(90, 140)
@@ -49,11 +50,11 @@
 
 
 class NetworksError(Exception):
-    """The environment asks for networks that a run cannot have."""
+    """An environment variable asks for networks that are not available."""
 
 
 class Networks(NamedTuple):
-    """The second octets of what all workers of a run share, and the first of the run."""
+    """The first network of a run, and the networks that its workers share, as second octets."""
 
     first: int
     demonstration: range
@@ -62,7 +63,7 @@
 
 
 def networks_from(environment: Mapping[str, str]) -> Networks:
-    """Return the networks of a run; raise NetworksError where its variable is no good."""
+    """Return the networks of a run; raise NetworksError if its variable is invalid."""
     first = _first_from(environment)
     return Networks(
         first,
@@ -73,30 +74,31 @@
 
 
 def networks() -> Networks:
-    """Return the networks of this process's run."""
+    """Return the networks of the run that this process belongs to."""
     return networks_from(os.environ)
 
 
 def site_nets(environment: Mapping[str, str] = os.environ) -> range:
-    """Return the second octets of a worker's test sites."""
+    """Return the second octets for a worker's test sites."""
     return _dealt(SITES, networks_from(environment).first, environment)
 
 
 def group_nets(environment: Mapping[str, str] = os.environ) -> range:
-    """Return the third octets of a worker's sites of registries and gateways."""
+    """Return the third octets for a worker's sites of registries and gateways."""
     return _dealt(GROUPS, 0, environment)
 
 
 def soak_nets(environment: Mapping[str, str] = os.environ) -> range:
-    """Return the third octets of a worker's soaks."""
+    """Return the third octets for a worker's soak tests."""
     return _dealt(SOAKS, 0, environment)
 
 
 def in_turn(nets: Callable[[], range]) -> Callable[[], int]:
-    """Return a function that gives a worker's networks one after the other, over and over.
+    """Return a function that cycles through a worker's networks.
 
-    Each site has a network of its own, so that a port of an ended one cannot linger.  They are
-    worked out when one is asked for: a fault then fails the tests that need a network, no others.
+    Successive sites use different networks, so that a port still held by a stopped site does not
+    collide with the next.  ``nets`` is evaluated on each call, so that an invalid environment
+    fails only the tests that need a network.
     """
     turns = itertools.count()
 
@@ -112,18 +114,21 @@
     highest = HIGHEST_NET - NETS_PER_RUN + 1
     hint = f"{LOWEST_NET} to {highest}; 10, 80 and 150 do not overlap"
     if not re.fullmatch(r"[0-9]+", text):
-        raise _error(FIRST_NET, "E001", f"{text!r} is not a whole number", hint)
+        raise _error(FIRST_NET, "E001", f"{text!r} is not a non-negative integer", hint)
     if not LOWEST_NET <= int(text) <= highest:
-        message = f"a run needs {NETS_PER_RUN} networks from {text} on, within 127.1 to 127.254"
+        message = (
+            f"a run uses {NETS_PER_RUN} networks; starting at {text}, they are not all within "
+            "127.1 to 127.254"
+        )
         raise _error(FIRST_NET, "E002", message, hint)
     return int(text)
 
 
 def _dealt(share: Share, first: int, environment: Mapping[str, str]) -> range:
-    """Return what a worker has of a share; outside of pytest-xdist there is one worker."""
+    """Return the octets allocated to a worker; without pytest-xdist there is one worker."""
     worker = int(environment.get(WORKER, "gw0").removeprefix("gw"))
     if worker >= WORKERS:
-        message = f"worker {worker} of a run that has networks for workers 0 to {WORKERS - 1}"
+        message = f"worker {worker} has no networks; a run has some for workers 0 to {WORKERS - 1}"
         raise _error(WORKER, "E003", message, f"--numprocesses={WORKERS} or less")
     begin = first + share.first + worker * share.per_worker
     return range(begin, begin + share.per_worker)
