--- a/siskinspoke/testing/proxy.py
+++ b/siskinspoke/testing/proxy.py
@@ -1,9 +1,9 @@
-"""A small fault-injecting proxy for TCP and UDP between the VMs of a test site.
+"""A fault-injecting TCP and UDP proxy between the VMs of a test site.
 
-Each VM has an address of its own; the others see it at a second address in the same network,
-where the proxy listens.  The proxy knows a sender by its address and can, for each pair of
-failure domains and each direction, cut silently, delay, drop, double and reorder.  It runs in a
-thread.
+Each VM listens on an address of its own; the others reach it through a second address in the same
+network, where the proxy listens.  The proxy identifies the failure domain of a sender by its
+address.  For each pair of failure domains and each direction it can cut traffic silently, delay it,
+and drop, duplicate and reorder datagrams.  It runs in a thread.
 """
 
 import random
@@ -20,7 +20,10 @@
 
 
 class Rule(NamedTuple):
-    """What happens to traffic from one failure domain to another."""
+    """The faults injected into traffic from one failure domain to another.
+
+    ``drop`` and ``double`` are probabilities; these and ``jitter_seconds`` apply to datagrams only.
+    """
 
     cut: bool = False
     delay_seconds: float = 0.0
@@ -30,7 +33,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A listener of the site: its real address and its ports."""
+    """A process to proxy: its real address and its ports."""
 
     host: str
     tcp_ports: tuple[int, ...]
@@ -38,20 +41,20 @@
 
 
 def front(host: str) -> str:
-    """Return the address at which other VMs see a host."""
+    """Return the proxy address through which other VMs reach a host."""
     parts = host.split(".")
     parts[2] = str(int(parts[2]) + FRONT_OFFSET)
     return ".".join(parts)
 
 
 def domain_of(host: str) -> int:
-    """Return the index of a host's failure domain, from its address; -1 for callers."""
+    """Return the index of the failure domain that an address belongs to, or -1 for callers."""
     parts = host.split(".")
     return int(parts[2]) - 1 if parts[1] != "0" else -1
 
 
 class FaultProxy:
-    """Own the listeners and connections; rules may be changed from any thread."""
+    """The proxy of one site; its methods may be called from any thread."""
 
     def __init__(self, endpoints: list[Endpoint], seed: int = 1):
         self._endpoints = endpoints
@@ -74,7 +77,7 @@
         self._thread.join(10)
 
     def _do(self, change: Callable[..., None], *arguments) -> None:
-        """Carry out a change in the proxy's own thread and wait for it."""
+        """Run a function in the proxy's thread and wait until it has run."""
         done = threading.Event()
 
         def carry_out() -> None:
@@ -85,7 +88,7 @@
         done.wait(CHANGE_SECONDS)
 
     def set_rule(self, source: int, target: int, rule: Rule, port: int = ANY_PORT) -> None:
-        """Change what happens from one failure domain to another, or to one port there."""
+        """Set the rule for traffic from one failure domain to another, or to one of its ports."""
         self._do(self._set_rule, source, target, rule, port)
 
     def _set_rule(self, source: int, target: int, rule: Rule, port: int) -> None:
@@ -94,18 +97,18 @@
         changed.set()
 
     def isolate(self, domain: int, domains: int, cut: bool = True) -> None:
-        """Cut a failure domain off from all others, both ways, or join it again."""
+        """Cut a failure domain off from all others in both directions, or reconnect it."""
         for other in range(domains):
             if other != domain:
                 self.set_rule(domain, other, Rule(cut=cut))
                 self.set_rule(other, domain, Rule(cut=cut))
 
     def cut_one_way(self, source: int, target: int, cut: bool = True) -> None:
-        """Cut one direction only."""
+        """Cut or restore traffic in one direction."""
         self.set_rule(source, target, Rule(cut=cut))
 
     def reset_all(self) -> None:
-        """Break every connection that goes through the proxy."""
+        """Reset every TCP connection through the proxy."""
         self._do(self._reset_all)
 
     def _reset_all(self) -> None:
@@ -163,7 +166,7 @@
         way: tuple[int, int, int],
         nursery: trio.Nursery,
     ) -> None:
-        """Forward bytes; under a cut they wait, as in a silent partition."""
+        """Forward bytes; during a cut they are held back, as in a silent partition."""
         try:
             while data := await inward.receive_some(READ_BYTES):
                 while self._rule(*way).cut:
@@ -195,7 +198,7 @@
 
 
 async def _send_later(socket, data: bytes, address: tuple[str, int], delay: float) -> None:
-    """Deliver a datagram after a delay; different delays reorder them."""
+    """Send a datagram after a delay; datagrams with different delays are reordered."""
     await trio.sleep(delay)
     try:
         await socket.sendto(data, address)
--- a/siskinspoke/testing/running_site.py
+++ b/siskinspoke/testing/running_site.py
@@ -1,4 +1,4 @@
-"""A running test site behind the fault proxy, with the checks that must always hold."""
+"""A test site of real processes behind the fault proxy, with helpers for assertions."""
 
 from collections import Counter
 from contextlib import ExitStack
@@ -24,7 +24,7 @@
 
 
 class RunningSite:
-    """Own a fleet and its proxy for one test."""
+    """The fleet and the fault proxy of one test."""
 
     def __init__(self, fleet: Fleet, proxy: FaultProxy, specs: list[EngineSpec]):
         self.fleet = fleet
@@ -33,27 +33,27 @@
 
     @property
     def entries(self) -> list[tuple[str, int]]:
-        """Return the callers' addresses of all entry VMs."""
+        """Return the public addresses of all entry VMs."""
         return [(entry.host, entry.port) for entry in self.fleet.settings.entries]
 
     def entry_address(self, name: str) -> tuple[str, int]:
-        """Return the callers' address of one entry VM."""
+        """Return the public address of one entry VM."""
         entry = self.fleet.settings.entry(name)
         return entry.host, entry.port
 
     def caller(self, *names: str) -> Caller:
-        """Return a caller that the balancer sends to these entry VMs, or to all."""
+        """Return a caller that is load balanced over the named entry VMs, or over all."""
         chosen = [self.entry_address(name) for name in names] or self.entries
         return Caller(chosen)
 
     def server_state(self, name: str) -> dict:
-        """Return a stand-in's own record of what ran and what it holds."""
+        """Return the state document of a stand-in server."""
         spec = self.specs[name]
         response = httpx.get(f"http://{spec.host}:{spec.port}/v1/state", timeout=2, trust_env=False)
         return msgspec.json.decode(response.content)
 
     def ask_server(self, name: str, path: str, body: dict) -> dict:
-        """Send a stand-in one message."""
+        """Post a request to a stand-in server and return its answer."""
         spec = self.specs[name]
         response = httpx.post(
             f"http://{spec.host}:{spec.port}{path}", json=body, timeout=5, trust_env=False
@@ -61,12 +61,15 @@
         return msgspec.json.decode(response.content)
 
     def restart_server(self, name: str) -> None:
-        """Start a stand-in again under its old address."""
+        """Start a stopped stand-in server again at the same address."""
         self.fleet.start_server(self.specs[name])
         self.fleet.wait_listening(self.specs[name].host, self.specs[name].port)
 
     def runs_by_subject(self, *names: str) -> Counter:
-        """Return how often each keyed call ran, by the logs of the plain services."""
+        """Count the executions of each call with an idempotency key, from the services' run logs.
+
+        Keys of the counter are ``<customer>/<idempotency key>``.
+        """
         counts: Counter = Counter()
         for name in names:
             path = self.fleet.folder / f"{name}.runs"
@@ -75,7 +78,7 @@
         return counts
 
     def wait_memory_returned(self, *names: str) -> None:
-        """Wait until engines hold nothing; that is what 'no memory lost for good' means."""
+        """Wait until the engines have no allocated memory and no reservations: nothing leaked."""
 
         def whole(name: str) -> bool:
             state = self.server_state(name)
@@ -96,7 +99,7 @@
     mutant: str = "",
     **changes,
 ) -> RunningSite:
-    """Start a whole site in three failure domains behind a proxy; the stack owns it."""
+    """Start a site of three failure domains behind a fault proxy; ``stack`` closes both."""
     files = write_site(net, folder, **changes)
     endpoints = write_views(folder, site_document(net, folder, **changes))
     specs = [
