--- a/siskinspoke/bench/__init__.py
+++ b/siskinspoke/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the policy: decisions and engine model in one process, in virtual time."""
+"""Benchmarks: routing policies in virtual time, and the cost per message of real processes."""
--- a/siskinspoke/testing/__init__.py
+++ b/siskinspoke/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Scaffolding of demonstrations and tests: processes, a fault-injecting proxy, checks."""
+"""Test support: site processes, a fault-injecting proxy, simulations and invariant checks."""
--- a/siskinspoke/testing/server_account.py
+++ b/siskinspoke/testing/server_account.py
@@ -1,25 +1,25 @@
-"""What one backend server has asked for, and whether the VMs that were told have kept to it.
+"""Check that VMs comply with the rate limit, back-off and leave that a backend server announced.
 
-A stand-in server tells its account of each request and answer.  The account is stricter than the
-rules of the platform, which leave a time to settle.  Times are in seconds.
+A stand-in server records each request and each answer here.  The checks are stricter than the
+rules of the platform, which allow a settling time.  Times are in seconds.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-# A request that was sent before its VM had read the answer may arrive this much later.
+# Requests that a VM sent before it read the answer may still arrive this long after it.
 TOLD_SECONDS = 0.5
 LIMIT_SECONDS = 4.0
 LIMIT_SHARE = 1.5
 LIMIT_SLACK = 5
-# Requests that may reach a server in the time for which it wants none from their VM.
+# Number of requests of a VM that are tolerated during its back-off.
 BACK_OFF_SLACK = 2
 DRAIN_SECONDS = 2.0
 
 
 @dataclass
 class BackOff:
-    """A time in which a server wants nothing from a VM, and what it got."""
+    """An interval in which a server asked for no requests from a VM, and how many arrived."""
 
     since: float
     until: float
@@ -27,7 +27,7 @@
 
 
 class ServerAccount:
-    """Count the requests of each VM against what the server has told it."""
+    """Compare the requests that a server gets from each VM with what it has told that VM."""
 
     def __init__(self, server: str):
         self.broken: list[str] = []
@@ -39,7 +39,7 @@
         self._told_leaving: dict[str, float] = {}
 
     def restarted(self) -> None:
-        """Note that the server has started anew, and asks for nothing so far."""
+        """Record a restart of the server, which clears everything that it has asked for."""
         self._lift_limit()
         self._back_offs.clear()
         self._told_leaving.clear()
@@ -50,7 +50,7 @@
         self._limited.clear()
 
     def disturbed(self, vm: str) -> None:
-        """Note that a VM was restarted, frozen or cut off; it may have forgotten what it heard."""
+        """Record that a VM was restarted, suspended or partitioned, and may have lost its state."""
         for told in (self._told_limit, self._back_offs, self._told_leaving):
             told.pop(vm, None)
 
@@ -62,7 +62,7 @@
         back_off: float | None = None,
         leaving: bool = False,
     ) -> None:
-        """Note an answer to a VM, and what it asks for."""
+        """Record an answer to a VM, with the rate limit, back-off or leave that it announces."""
         if back_off is not None:
             wanted = BackOff(now + TOLD_SECONDS, now + back_off)
             self._back_offs.setdefault(vm, []).append(wanted)
@@ -76,12 +76,14 @@
             self._rates.append((now, rate_limit))
 
     def arrived(self, vm: str, now: float) -> None:
-        """Note a request of a VM, and whether it is one too many."""
+        """Record a request of a VM, and a violation if it was not allowed."""
         self._check_limit(vm, now)
         self._check_back_off(vm, now)
         if now - self._told_leaving.get(vm, now) > DRAIN_SECONDS:
             late = now - self._told_leaving[vm]
-            self.broken.append(f"{self._server} got a request of {vm} {late:.1f} s after its leave")
+            self.broken.append(
+                f"{self._server} got a request from {vm} {late:.1f} s after announcing its leave"
+            )
 
     def _check_back_off(self, vm: str, now: float) -> None:
         wanted = [item for item in self._back_offs.get(vm, []) if now < item.until]
@@ -90,7 +92,7 @@
             item.arrivals += now >= item.since
             if item.arrivals > BACK_OFF_SLACK:
                 self.broken.append(
-                    f"{self._server} asked {vm} to back off and got {item.arrivals} requests"
+                    f"{self._server} asked {vm} to back off, but got {item.arrivals} requests"
                 )
 
     def _check_limit(self, vm: str, now: float) -> None:
@@ -106,6 +108,6 @@
         allowed = LIMIT_SHARE * rate * LIMIT_SECONDS + LIMIT_SLACK
         if len(self._limited) > allowed:
             self.broken.append(
-                f"{self._server} named a limit of {rate:g} a second and got"
-                f" {len(self._limited)} requests in {LIMIT_SECONDS:g} s; allowed {allowed:g}"
+                f"{self._server} has a rate limit of {rate:g}/s but got {len(self._limited)}"
+                f" requests in {LIMIT_SECONDS:g} s; maximum {allowed:g}"
             )
--- a/siskinspoke/testing/site.py
+++ b/siskinspoke/testing/site.py
@@ -1,4 +1,4 @@
-"""Write settings for a small test site on loopback addresses, one address per VM."""
+"""Write settings for a small test site on loopback addresses, with one address per VM."""
 
 import hashlib
 from pathlib import Path
@@ -14,19 +14,19 @@
 
 
 class SiteFiles(NamedTuple):
-    """Where the settings of a test site lie."""
+    """The settings files of a test site."""
 
     base: Path
     overlay: Path
 
 
 def customer_key(name: str) -> str:
-    """Return the key that a customer of a test or demonstration site uses."""
+    """Return the API key of a customer of a test or demonstration site."""
     return f"demo-key-{name}"
 
 
 def customer(name: str, weight: float = 1.0, priority: str = "standard") -> dict:
-    """Return the settings of a customer with its test key."""
+    """Return the settings of a customer, with the hash of its API key."""
     digest = hashlib.sha256(customer_key(name).encode()).hexdigest()
     return {"key_sha256": digest, "weight": weight, "priority": priority}
 
@@ -37,7 +37,7 @@
 
 
 def site_document(net: int, folder: Path, entries_per_domain: int = 1, **changes) -> dict:
-    """Return an overlay with entry VMs and one control replica in each failure domain."""
+    """Return a settings overlay with entry VMs and one control replica in each failure domain."""
     entries = [
         {
             "name": f"entry-{domain}-{number}",
@@ -76,7 +76,7 @@
 
 
 def write_site(net: int, folder: Path, **changes) -> SiteFiles:
-    """Write base file, overlay and keys of a test site into a folder."""
+    """Write the base settings, the overlay and the keys of a test site into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     write_keys(folder / "keys")
     base = folder / "base.json"
@@ -91,9 +91,9 @@
 
 
 def write_views(folder: Path, document: dict) -> list[Endpoint]:
-    """Write each VM's settings for a site behind the proxy, and return what it must front.
+    """Write an overlay for each VM of a site behind the proxy; return the endpoints to proxy.
 
-    A VM knows its own address; it sees every other one at the proxy's.
+    A VM's overlay has its own real address, and the proxy addresses of all others.
     """
     endpoints = [
         Endpoint(item["host"], (item["port"],), (item["internal_port"],))
@@ -117,19 +117,19 @@
 
 
 def proxied(spec: EngineSpec) -> EngineSpec:
-    """Return a backend server that announces the proxy's address for it."""
+    """Return the spec of a backend server that announces its proxy address."""
     return spec._replace(advertise_host=front(spec.host))
 
 
 def engine(net: int, domain: int, number: int, *flags: str) -> EngineSpec:
-    """Return a stand-in engine of the test site."""
+    """Return the spec of a stand-in engine."""
     name = f"engine-{DOMAINS[domain]}-{number}"
     host = address(net, domain, 100 + number)
     return EngineSpec(name, DOMAINS[domain], host, SERVER_PORT, "redactor", flags)
 
 
 def plain_service(net: int, domain: int, number: int, *flags: str) -> EngineSpec:
-    """Return a stand-in plain service of the test site."""
+    """Return the spec of a stand-in plain service."""
     name = f"despacho-{DOMAINS[domain]}-{number}"
     host = address(net, domain, 150 + number)
     return EngineSpec(
