--- a/siskinspoke/testing/chaos.py
+++ b/siskinspoke/testing/chaos.py
@@ -15,11 +15,11 @@
 
 CUSTOMER = "municipio-1"
 TIMEOUT_MS = 8_000
-RESENDS = 12
-RESEND_PAUSE_SECONDS = 0.7
-REQUEST_PAUSE_SECONDS = 0.12
+MAX_CALL_ATTEMPTS = 12
+RETRY_DELAY_SECONDS = 0.7
+REQUEST_INTERVAL_SECONDS = 0.12
 MOST_DOWN = 1
-ANSWER_SLACK_SECONDS = 1.0
+ANSWER_TOLERANCE_SECONDS = 1.0
 
 
 class CallRecord(NamedTuple):
@@ -37,8 +37,8 @@
         self.completions: list[Outcome] = []
         self.calls: list[CallRecord] = []
         self.faults: list[str] = []
-        self._rng = random.Random(seed)
-        self._traffic = random.Random(seed + 1)
+        self._fault_rng = random.Random(seed)
+        self._traffic_rng = random.Random(seed + 1)
 
     def run(self, seconds: float) -> None:
         """Inject faults under load for ``seconds``, then undo all faults and drain the traffic."""
@@ -48,28 +48,28 @@
         async with self.site.caller() as caller, trio.open_nursery() as nursery:
             with trio.move_on_after(seconds):
                 async with trio.open_nursery() as faults:
-                    faults.start_soon(self._break_things)
+                    faults.start_soon(self._inject_faults)
                     number = 0
                     while True:
                         number += 1
-                        nursery.start_soon(self._complete, caller, number)
+                        nursery.start_soon(self._send_completion, caller, number)
                         if number % 3 == 0:
-                            nursery.start_soon(self._call, caller, number)
-                        await trio.sleep(REQUEST_PAUSE_SECONDS)
+                            nursery.start_soon(self._send_call, caller, number)
+                        await trio.sleep(REQUEST_INTERVAL_SECONDS)
             await trio.to_thread.run_sync(self.heal)
 
-    async def _complete(self, caller: Caller, number: int) -> None:
-        tokens = self._traffic.choice((1_000, 2_000, 6_000, 30_000))
+    async def _send_completion(self, caller: Caller, number: int) -> None:
+        tokens = self._traffic_rng.choice((1_000, 2_000, 6_000, 30_000))
         prompt = prompt_text(CUSTOMER, number % 3, number, tokens, 0.3)
         self.completions.append(
             await caller.complete("redactor", customer_key(CUSTOMER), prompt, 24, TIMEOUT_MS)
         )
 
-    async def _call(self, caller: Caller, number: int) -> None:
+    async def _send_call(self, caller: Caller, number: int) -> None:
         """Send a call and retry it through other VMs until an answer is final."""
         record = CallRecord(idempotency_key(f"chaos-{number}"), [])
         self.calls.append(record)
-        for _ in range(RESENDS):
+        for _ in range(MAX_CALL_ATTEMPTS):
             outcome = Outcome(-1, 0, "unknown", "", 0, None, 0.0, False)
             with trio.move_on_after(TIMEOUT_MS / 1000):
                 outcome = await caller.call(
@@ -78,54 +78,56 @@
             record.outcomes.append(outcome)
             if outcome.whole or outcome.code == ResultCode.ALREADY_RAN:
                 return
-            await trio.sleep(RESEND_PAUSE_SECONDS)
+            await trio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _break_things(self) -> None:
+    async def _inject_faults(self) -> None:
         while True:
-            fault = self._rng.choice(self._kinds())
+            fault = self._fault_rng.choice(self._fault_types())
             name = fault.__name__.strip("_")
             self.faults.append(name)
             await trio.to_thread.run_sync(fault)
 
-    def _kinds(self) -> list[Callable[[], None]]:
+    def _fault_types(self) -> list[Callable[[], None]]:
         return [
             self._kill_entry,
             self._kill_engine,
             self._kill_control,
-            self._empty_control,
-            self._freeze_any,
+            self._wipe_control,
+            self._suspend_process,
             self._cut_domain,
             self._cut_one_way,
             self._reset_connections,
         ]
 
     def _pause(self) -> None:
-        time.sleep(self._rng.uniform(0.3, 1.5))
+        time.sleep(self._fault_rng.uniform(0.3, 1.5))
 
     def _kill_entry(self) -> None:
-        name = self._rng.choice(self.site.fleet.settings.entries).name
+        name = self._fault_rng.choice(self.site.fleet.settings.entries).name
         self.site.fleet.kill(name)
         self._pause()
         self.site.fleet.start_entry(name)
         self.site.fleet.wait_entries([name])
 
     def _kill_engine(self) -> None:
-        name = self._rng.choice([item for item in self.site.specs if item.startswith("engine")])
+        name = self._fault_rng.choice(
+            [item for item in self.site.specs if item.startswith("engine")]
+        )
         self.site.fleet.kill(name)
         self._pause()
         self.site.restart_server(name)
 
     def _kill_control(self) -> None:
-        self._replace_control(empty=False)
+        self._restart_control(wipe_disk=False)
 
-    def _empty_control(self) -> None:
-        self._replace_control(empty=True)
+    def _wipe_control(self) -> None:
+        self._restart_control(wipe_disk=True)
 
-    def _replace_control(self, empty: bool) -> None:
+    def _restart_control(self, wipe_disk: bool) -> None:
         """Kill a replica, optionally wipe its disk, restart it and wait until it is admitted."""
-        control = self._rng.choice(self.site.fleet.settings.controls)
+        control = self._fault_rng.choice(self.site.fleet.settings.controls)
         self.site.fleet.kill(control.name)
-        if empty:
+        if wipe_disk:
             shutil.rmtree(control.data_folder)
         self._pause()
         self.site.fleet.start_control(control.name)
@@ -137,24 +139,24 @@
             time.sleep(0.1)
         raise AssertionError(f"{control.name} was not readmitted within 10 s of its restart")
 
-    def _freeze_any(self) -> None:
+    def _suspend_process(self) -> None:
         fleet = self.site.fleet
         names = [item.name for item in (*fleet.settings.entries, *fleet.settings.controls)]
-        name = self._rng.choice([*names, *self.site.specs])
+        name = self._fault_rng.choice([*names, *self.site.specs])
         fleet.freeze(name)
-        time.sleep(self._rng.uniform(0.5, 4.0))
+        time.sleep(self._fault_rng.uniform(0.5, 4.0))
         fleet.thaw(name)
 
     def _cut_domain(self) -> None:
-        domain = self._rng.randrange(3)
+        domain = self._fault_rng.randrange(3)
         self.site.proxy.isolate(domain, 3)
-        time.sleep(self._rng.uniform(0.5, 4.0))
+        time.sleep(self._fault_rng.uniform(0.5, 4.0))
         self.site.proxy.isolate(domain, 3, cut=False)
 
     def _cut_one_way(self) -> None:
-        source, target = self._rng.sample(range(3), 2)
+        source, target = self._fault_rng.sample(range(3), 2)
         self.site.proxy.cut_one_way(source, target)
-        time.sleep(self._rng.uniform(0.5, 4.0))
+        time.sleep(self._fault_rng.uniform(0.5, 4.0))
         self.site.proxy.cut_one_way(source, target, cut=False)
 
     def _reset_connections(self) -> None:
@@ -178,20 +180,20 @@
 
     def violations(self, services: tuple[str, ...]) -> list[str]:
         """Return a description of each violated invariant."""
-        runs = self.site.runs_by_subject(*services)
+        execution_counts = self.site.runs_by_subject(*services)
         found = [
             f"answer {item.request_id} has status OK but is incomplete or another caller's"
             for item in self.completions
             if item.code == ResultCode.OK and not item.whole
         ]
-        limit = TIMEOUT_MS / 1000 + ANSWER_SLACK_SECONDS
+        limit = TIMEOUT_MS / 1000 + ANSWER_TOLERANCE_SECONDS
         found += [
             f"answer arrived after {item.total:.2f} s, past its deadline: {item}"
             for item in self.completions
             if item.total > limit and item.status
         ]
         for record in self.calls:
-            count = runs[f"{CUSTOMER}/{record.key}"]
+            count = execution_counts[f"{CUSTOMER}/{record.key}"]
             if count > 1:
                 found.append(f"{record.key} was executed {count} times: {record.outcomes}")
             if any(item.whole for item in record.outcomes) and count != 1:
--- a/siskinspoke/testing/fleet.py
+++ b/siskinspoke/testing/fleet.py
@@ -20,12 +20,12 @@
 
 from siskinspoke.conf import Settings, settings_from
 
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 STOP_SECONDS = 15.0
-POLL_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 
 
-class EngineSpec(NamedTuple):
+class ServerSpec(NamedTuple):
     """A stand-in backend server to start; ``flags`` are appended to its command line."""
 
     name: str
@@ -42,16 +42,18 @@
     """A process did not reach the expected state in time."""
 
 
-def wait_until(condition: Callable[[], bool], what: str, seconds: float = READY_SECONDS) -> None:
+def wait_until(
+    condition: Callable[[], bool], description: str, seconds: float = READY_TIMEOUT_SECONDS
+) -> None:
     """Poll a condition until it holds; raise FleetError after ``seconds``."""
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
-            raise FleetError(f"timed out after {seconds} s waiting for: {what}")
-        time.sleep(POLL_SECONDS)
+            raise FleetError(f"timed out after {seconds} s waiting for: {description}")
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
-def port_open(host: str, port: int) -> bool:
+def is_port_open(host: str, port: int) -> bool:
     """Return whether a TCP port accepts connections."""
     with socket.socket() as probe:
         probe.settimeout(0.2)
@@ -78,7 +80,7 @@
         self.settings: Settings = settings_from(str(base), str(overlay))
         self._program = program or (sys.executable, "-m", "siskinspoke")
         self._processes: dict[str, subprocess.Popen] = {}
-        self._frozen: set[str] = set()
+        self._suspended: set[str] = set()
         self.mutant = ""
         (folder / "logs").mkdir(parents=True, exist_ok=True)
 
@@ -120,7 +122,7 @@
         """Start one control replica."""
         self.start(name, "control", *self._settings_flags(name), f"--name={name}")
 
-    def start_site(self, specs: list[EngineSpec]) -> None:
+    def start_site(self, specs: list[ServerSpec]) -> None:
         """Start all processes and wait until the site serves."""
         for control in self.settings.controls:
             self.start_control(control.name)
@@ -134,16 +136,16 @@
 
     def leader(self) -> str | None:
         """Return the replica that reports leadership of the highest term, if any."""
-        found = []
+        claimants = []
         for control in self.settings.controls:
-            if self.running(control.name) and control.name not in self._frozen:
+            if self.running(control.name) and control.name not in self._suspended:
                 try:
                     status = self.control_status(control.name)
                 except httpx.HTTPError:
                     continue
                 if status["role"] == "leader":
-                    found.append((status["term"], control.name))
-        return max(found)[1] if found else None
+                    claimants.append((status["term"], control.name))
+        return max(claimants)[1] if claimants else None
 
     def wait_leader(self, other_than: str = "") -> str:
         """Wait for a leader and return its name."""
@@ -163,14 +165,14 @@
                 leader = self.leader()
                 if leader is None:
                     return False
-                mine, theirs = self.control_status(name), self.control_status(leader)
+                status, leader_status = self.control_status(name), self.control_status(leader)
             except httpx.HTTPError:
                 return False
-            return mine["admitted"] and mine["commit"] >= theirs["commit"]
+            return status["admitted"] and status["commit"] >= leader_status["commit"]
 
         wait_until(is_caught_up, f"{name} caught up with its leader")
 
-    def start_server(self, spec: EngineSpec, announce: list[tuple[str, int]] | None = None) -> None:
+    def start_server(self, spec: ServerSpec, announce: list[tuple[str, int]] | None = None) -> None:
         """Start a stand-in backend server.
 
         By default it announces itself to the entry VMs of its own failure domain.
@@ -203,7 +205,7 @@
 
     def wait_listening(self, host: str, port: int) -> None:
         """Wait until a TCP port accepts connections."""
-        wait_until(lambda: port_open(host, port), f"a listener on {host}:{port}")
+        wait_until(lambda: is_port_open(host, port), f"a listener on {host}:{port}")
 
     def wait_entries(self, names: list[str] | None = None) -> None:
         """Wait until entry daemons listen on their public and internal ports."""
@@ -253,12 +255,12 @@
     def freeze(self, name: str) -> None:
         """Suspend a process with SIGSTOP; its connections stay open."""
         self.signal(name, signal.SIGSTOP)
-        self._frozen.add(name)
+        self._suspended.add(name)
 
     def thaw(self, name: str) -> None:
         """Resume a suspended process with SIGCONT."""
-        if name in self._frozen:
-            self._frozen.discard(name)
+        if name in self._suspended:
+            self._suspended.discard(name)
             self.signal(name, signal.SIGCONT)
 
     def terminate(self, name: str) -> subprocess.Popen:
@@ -282,7 +284,7 @@
 
     def close(self) -> None:
         """Kill every process that this fleet started."""
-        for name in list(self._frozen):
+        for name in list(self._suspended):
             self.thaw(name)
         for process in self._processes.values():
             if process.poll() is None:
--- a/siskinspoke/testing/group_site.py
+++ b/siskinspoke/testing/group_site.py
@@ -129,15 +129,15 @@
 
     def until(self, name: str, method: str, path: str, body: object = None) -> object:
         """Retry a request to a registry until it succeeds, as operators do; return the body."""
-        found: list[object] = []
+        answers: list[object] = []
 
         def succeeds() -> bool:
             status, answer = self.call(name, method, path, body)
-            found[:] = [answer]
+            answers[:] = [answer]
             return status == 200
 
         wait_until(succeeds, f"{method} {path} at {name}")
-        return found[0]
+        return answers[0]
 
     def status(self, gateway: str, path: str, host: str) -> int:
         """Return the status that a client gets from a gateway, or 0 if there is no answer."""
--- a/siskinspoke/testing/networks.py
+++ b/siskinspoke/testing/networks.py
@@ -31,7 +31,7 @@
 WORKERS = 3
 
 
-class Share(NamedTuple):
+class Allocation(NamedTuple):
     """How octets of one kind are allocated to test workers: the first, and the count for each."""
 
     first: int
@@ -39,14 +39,14 @@
 
 
 # Second octets, as offsets from the first network of the run.
-SITES = Share(10, 20)
+SITES = Allocation(10, 20)
 NETS_PER_RUN = SITES.first + SITES.per_worker * WORKERS
 
 # Third octets within the network that all sites of registries and gateways share.
-SOAKS = Share(60, 3)
+SOAKS = Allocation(60, 3)
 FEED_SLOPES = 88
 SOAK_BY_HAND = range(90, 140)
-GROUPS = Share(150, 10)
+GROUPS = Allocation(150, 10)
 
 
 class NetworksError(Exception):
@@ -64,7 +64,7 @@
 
 def networks_from(environment: Mapping[str, str]) -> Networks:
     """Return the networks of a run; raise NetworksError if its variable is invalid."""
-    first = _first_from(environment)
+    first = _first_net(environment)
     return Networks(
         first,
         demonstration=range(first, first + 1),
@@ -80,17 +80,17 @@
 
 def site_nets(environment: Mapping[str, str] = os.environ) -> range:
     """Return the second octets for a worker's test sites."""
-    return _dealt(SITES, networks_from(environment).first, environment)
+    return _allocated(SITES, networks_from(environment).first, environment)
 
 
 def group_nets(environment: Mapping[str, str] = os.environ) -> range:
     """Return the third octets for a worker's sites of registries and gateways."""
-    return _dealt(GROUPS, 0, environment)
+    return _allocated(GROUPS, 0, environment)
 
 
 def soak_nets(environment: Mapping[str, str] = os.environ) -> range:
     """Return the third octets for a worker's soak tests."""
-    return _dealt(SOAKS, 0, environment)
+    return _allocated(SOAKS, 0, environment)
 
 
 def in_turn(nets: Callable[[], range]) -> Callable[[], int]:
@@ -100,16 +100,16 @@
     collide with the next.  ``nets`` is evaluated on each call, so that an invalid environment
     fails only the tests that need a network.
     """
-    turns = itertools.count()
+    counter = itertools.count()
 
-    def take() -> int:
-        mine = nets()
-        return mine[next(turns) % len(mine)]
+    def next_net() -> int:
+        available = nets()
+        return available[next(counter) % len(available)]
 
-    return take
+    return next_net
 
 
-def _first_from(environment: Mapping[str, str]) -> int:
+def _first_net(environment: Mapping[str, str]) -> int:
     text = environment.get(FIRST_NET, str(DEFAULT_FIRST))
     highest = HIGHEST_NET - NETS_PER_RUN + 1
     hint = f"{LOWEST_NET} to {highest}; 10, 80 and 150 do not overlap"
@@ -124,14 +124,14 @@
     return int(text)
 
 
-def _dealt(share: Share, first: int, environment: Mapping[str, str]) -> range:
+def _allocated(allocation: Allocation, first: int, environment: Mapping[str, str]) -> range:
     """Return the octets allocated to a worker; without pytest-xdist there is one worker."""
     worker = int(environment.get(WORKER, "gw0").removeprefix("gw"))
     if worker >= WORKERS:
         message = f"worker {worker} has no networks; a run has some for workers 0 to {WORKERS - 1}"
         raise _error(WORKER, "E003", message, f"--numprocesses={WORKERS} or less")
-    begin = first + share.first + worker * share.per_worker
-    return range(begin, begin + share.per_worker)
+    begin = first + allocation.first + worker * allocation.per_worker
+    return range(begin, begin + allocation.per_worker)
 
 
 def _error(variable: str, number: str, message: str, hint: str) -> NetworksError:
--- a/siskinspoke/testing/proxy.py
+++ b/siskinspoke/testing/proxy.py
@@ -14,8 +14,8 @@
 import trio
 
 READ_BYTES = 65_536
-FRONT_OFFSET = 100
-CHANGE_SECONDS = 5.0
+PROXY_OCTET_OFFSET = 100
+CHANGE_TIMEOUT_SECONDS = 5.0
 ANY_PORT = 0
 
 
@@ -27,7 +27,7 @@
 
     cut: bool = False
     delay_seconds: float = 0.0
-    drop: float = 0.0
+    drop_probability: float = 0.0
     double: float = 0.0
     jitter_seconds: float = 0.0
 
@@ -40,10 +40,10 @@
     udp_ports: tuple[int, ...] = ()
 
 
-def front(host: str) -> str:
+def proxy_address(host: str) -> str:
     """Return the proxy address through which other VMs reach a host."""
     parts = host.split(".")
-    parts[2] = str(int(parts[2]) + FRONT_OFFSET)
+    parts[2] = str(int(parts[2]) + PROXY_OCTET_OFFSET)
     return ".".join(parts)
 
 
@@ -73,23 +73,23 @@
         return self
 
     def __exit__(self, *details) -> None:
-        self._do(self._scope.cancel)
+        self._run_in_thread(self._scope.cancel)
         self._thread.join(10)
 
-    def _do(self, change: Callable[..., None], *arguments) -> None:
+    def _run_in_thread(self, change: Callable[..., None], *arguments) -> None:
         """Run a function in the proxy's thread and wait until it has run."""
         done = threading.Event()
 
-        def carry_out() -> None:
+        def run() -> None:
             change(*arguments)
             done.set()
 
-        self._token.run_sync_soon(carry_out)
-        done.wait(CHANGE_SECONDS)
+        self._token.run_sync_soon(run)
+        done.wait(CHANGE_TIMEOUT_SECONDS)
 
     def set_rule(self, source: int, target: int, rule: Rule, port: int = ANY_PORT) -> None:
         """Set the rule for traffic from one failure domain to another, or to one of its ports."""
-        self._do(self._set_rule, source, target, rule, port)
+        self._run_in_thread(self._set_rule, source, target, rule, port)
 
     def _set_rule(self, source: int, target: int, rule: Rule, port: int) -> None:
         self._rules[(source, target, port)] = rule
@@ -109,7 +109,7 @@
 
     def reset_all(self) -> None:
         """Reset every TCP connection through the proxy."""
-        self._do(self._reset_all)
+        self._run_in_thread(self._reset_all)
 
     def _reset_all(self) -> None:
         for stream, _, _ in list(self._streams):
@@ -134,67 +134,67 @@
                 self._ready.set()
 
     async def _serve_tcp(self, host: str, port: int, task_status) -> None:
-        async def accept(inward: trio.SocketStream) -> None:
-            source = domain_of(inward.socket.getpeername()[0])
-            await self._connect(inward, source, host, port)
+        async def accept(client: trio.SocketStream) -> None:
+            source = domain_of(client.socket.getpeername()[0])
+            await self._connect(client, source, host, port)
 
-        await trio.serve_tcp(accept, port, host=front(host), task_status=task_status)
+        await trio.serve_tcp(accept, port, host=proxy_address(host), task_status=task_status)
 
-    async def _connect(self, inward: trio.SocketStream, source: int, host: str, port: int) -> None:
+    async def _connect(self, client: trio.SocketStream, source: int, host: str, port: int) -> None:
         target = domain_of(host)
         while self._rule(source, target, port).cut or self._rule(target, source, port).cut:
             await self._changed.wait()
         try:
-            outward = await trio.open_tcp_stream(host, port)
+            server = await trio.open_tcp_stream(host, port)
         except OSError:
             return
-        self._streams |= {(inward, source, target), (outward, target, source)}
+        self._streams |= {(client, source, target), (server, target, source)}
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, inward, outward, (source, target, port), nursery)
-                nursery.start_soon(self._pump, outward, inward, (target, source, port), nursery)
+                nursery.start_soon(self._forward, client, server, (source, target, port), nursery)
+                nursery.start_soon(self._forward, server, client, (target, source, port), nursery)
         finally:
-            self._streams -= {(inward, source, target), (outward, target, source)}
+            self._streams -= {(client, source, target), (server, target, source)}
             with trio.move_on_after(1) as scope:
                 scope.shield = True
-                await trio.aclose_forcefully(outward)
+                await trio.aclose_forcefully(server)
 
-    async def _pump(
+    async def _forward(
         self,
-        inward: trio.SocketStream,
-        outward: trio.SocketStream,
-        way: tuple[int, int, int],
+        source: trio.SocketStream,
+        destination: trio.SocketStream,
+        route: tuple[int, int, int],
         nursery: trio.Nursery,
     ) -> None:
         """Forward bytes; during a cut they are held back, as in a silent partition."""
         try:
-            while data := await inward.receive_some(READ_BYTES):
-                while self._rule(*way).cut:
+            while data := await source.receive_some(READ_BYTES):
+                while self._rule(*route).cut:
                     await self._changed.wait()
-                rule = self._rule(*way)
+                rule = self._rule(*route)
                 if rule.delay_seconds:
                     await trio.sleep(rule.delay_seconds)
-                await outward.send_all(data)
-            await outward.send_eof()
+                await destination.send_all(data)
+            await destination.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             nursery.cancel_scope.cancel()
 
     async def _serve_udp(self, host: str, port: int, task_status) -> None:
-        outward = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
-        inward = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
-        await inward.bind((front(host), port))
+        sender = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
+        listener = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
+        await listener.bind((proxy_address(host), port))
         target = domain_of(host)
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                data, address = await inward.recvfrom(READ_BYTES)
+                data, address = await listener.recvfrom(READ_BYTES)
                 rule = self._rule(domain_of(address[0]), target, port)
-                if rule.cut or self._rng.random() < rule.drop:
+                if rule.cut or self._rng.random() < rule.drop_probability:
                     continue
                 copies = 2 if self._rng.random() < rule.double else 1
                 for _ in range(copies):
                     delay = rule.delay_seconds + self._rng.random() * rule.jitter_seconds
-                    nursery.start_soon(_send_later, outward, data, (host, port), delay)
+                    nursery.start_soon(_send_later, sender, data, (host, port), delay)
 
 
 async def _send_later(socket, data: bytes, address: tuple[str, int], delay: float) -> None:
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -21,13 +21,13 @@
 )
 
 TIMES = Times(heartbeat_ms=50, election_ms=250)
-MAX_IN_FLIGHT = 400
-COMPACT_EVERY = 12
+MAX_IN_FLIGHT_MESSAGES = 400
+COMPACTION_INTERVAL_ENTRIES = 12
 COMMAND = "command"
 # Probability that a commit index reaches the disk before the next record is written.
-SAVED_COMMITS = 0.3
+COMMIT_PERSIST_PROBABILITY = 0.3
 # Probabilities that a replica syncs directly after an output, and after a tick.
-SYNCED_AFTER_OUTPUT, SYNCED_AFTER_TICK = 0.5, 0.8
+SYNC_AFTER_OUTPUT_PROBABILITY, SYNC_AFTER_TICK_PROBABILITY = 0.5, 0.8
 
 
 class InvariantError(AssertionError):
@@ -59,7 +59,7 @@
 class ReplicaGroup:
     """Replicas, their simulated disks and the messages in flight between them."""
 
-    def __init__(self, count: int, seed: int, kind: type[Replica] = Replica):
+    def __init__(self, count: int, seed: int, replica_class: type[Replica] = Replica):
         self.names = [f"r{number}" for number in range(count)]
         self.now = 0.0
         self.rng = random.Random(seed)
@@ -70,18 +70,18 @@
         self.frozen: set[str] = set()
         self.cuts: set[tuple[str, str]] = set()
         self.applied: dict[str, list[Any]] = {name: [] for name in self.names}
-        self.accepted: dict[int, Any] = {}
-        self.leaders: dict[int, str] = {}
-        self.unhealed: str | None = None
-        self.proposed = 0
-        self._kind = kind
+        self.committed_entries: dict[int, Any] = {}
+        self.leader_by_term: dict[int, str] = {}
+        self.wiped_name: str | None = None
+        self.proposal_count = 0
+        self._replica_class = replica_class
         for name in self.names:
             self.start(name)
 
     def start(self, name: str) -> None:
         """Start a replica from its disk."""
         self.unsynced[name] = []
-        self.replicas[name] = self._kind(
+        self.replicas[name] = self._replica_class(
             name,
             self.names,
             TIMES,
@@ -100,14 +100,14 @@
 
     def empty_disk(self, name: str) -> None:
         """Stop a replica and wipe its disk, unless another wiped one is not yet readmitted."""
-        if self.unhealed is not None or not self._all_founded():
+        if self.wiped_name is not None or not self._all_initialized():
             return
-        self.unhealed = name
+        self.wiped_name = name
         self.crash(name)
         self.disks[name] = Disk()
         self.applied[name] = []
 
-    def _all_founded(self) -> bool:
+    def _all_initialized(self) -> bool:
         return all(disk.identity is not None for disk in self.disks.values())
 
     def step(self, number: int) -> None:
@@ -137,12 +137,12 @@
             case 11 | 12 | 13 | 14:
                 self.pass_time(choice % 120)
             case 15 | 18:
-                self.restart_dead()
+                self.restart_stopped()
             case _:
                 self.deliver(choice)
-        self.check()
+        self.check_invariants()
 
-    def restart_dead(self) -> None:
+    def restart_stopped(self) -> None:
         """Start every stopped replica."""
         for name, replica in self.replicas.items():
             if replica is None:
@@ -170,7 +170,7 @@
             self.in_flight.append((sender, to, item))
             return
         replica.receive(item, self.now)
-        self._carry_out(to, replica.take_output())
+        self._process_output(to, replica.take_output())
 
     def pass_time(self, milliseconds: float) -> None:
         """Advance the clock and tick each running replica that is not frozen."""
@@ -178,8 +178,8 @@
         for name, replica in self.replicas.items():
             if replica is not None and name not in self.frozen:
                 replica.tick(self.now)
-                self._carry_out(name, replica.take_output())
-                if self.rng.random() < SYNCED_AFTER_TICK:
+                self._process_output(name, replica.take_output())
+                if self.rng.random() < SYNC_AFTER_TICK_PROBABILITY:
                     self.sync(name)
 
     def propose(self) -> None:
@@ -187,11 +187,11 @@
         for name, replica in self.replicas.items():
             if replica is None or name in self.frozen or replica.role is not Role.LEADER:
                 continue
-            self.proposed += 1
-            replica.propose(COMMAND, self.proposed, self.now)
-            self._carry_out(name, replica.take_output())
+            self.proposal_count += 1
+            replica.propose(COMMAND, self.proposal_count, self.now)
+            self._process_output(name, replica.take_output())
 
-    def _carry_out(self, name: str, out: Output) -> None:
+    def _process_output(self, name: str, out: Output) -> None:
         """Send messages, apply entries and queue writes, as the host of a replica does."""
         replica, unsynced = self.replicas[name], self.unsynced[name]
         if out.snapshot is not None:
@@ -200,28 +200,28 @@
         self._send_all(name, out.sends)
         for entry in out.committed:
             self._apply(name, entry)
-        if out.committed and self.rng.random() < SAVED_COMMITS:
+        if out.committed and self.rng.random() < COMMIT_PERSIST_PROBABILITY:
             out.records.append(Committed(out.committed[-1].index))
         unsynced.append(out)
-        if replica.commit - replica.log.base_index >= COMPACT_EVERY:
+        if replica.commit - replica.log.base_index >= COMPACTION_INTERVAL_ENTRIES:
             compacted = Output(out.mark)
             document = {"applied": list(self.applied[name])}
             compacted.snapshot = replica.compact(replica.commit, document)
             compacted.records = replica.persistent_records()
             unsynced.append(compacted)
-        if self.rng.random() < SYNCED_AFTER_OUTPUT:
+        if self.rng.random() < SYNC_AFTER_OUTPUT_PROBABILITY:
             self.sync(name)
 
     def sync(self, name: str) -> None:
         """Write all unsynced outputs to disk, then send the messages that had to wait for them."""
         replica, disk = self.replicas[name], self.disks[name]
         while replica is not None and self.unsynced[name]:
-            waiting = self.unsynced[name]
+            pending = self.unsynced[name]
             self.unsynced[name] = []
-            for out in waiting:
+            for out in pending:
                 disk.write(out)
-            replica.synced(waiting[-1].mark, self.now)
-            for out in waiting:
+            replica.synced(pending[-1].mark, self.now)
+            for out in pending:
                 self._send_all(name, out.sends_after_sync)
             after = replica.take_output()
             self._send_all(name, after.sends)
@@ -232,26 +232,26 @@
 
     def _send_all(self, name: str, sends: list[tuple[str, Any]]) -> None:
         for to, item in sends:
-            if len(self.in_flight) < MAX_IN_FLIGHT:
+            if len(self.in_flight) < MAX_IN_FLIGHT_MESSAGES:
                 self.in_flight.append((name, to, item))
 
     def _apply(self, name: str, entry: Entry) -> None:
         self.applied[name].append((entry.index, entry.kind, entry.body))
-        known = self.accepted.setdefault(entry.index, (entry.kind, entry.body))
+        known = self.committed_entries.setdefault(entry.index, (entry.kind, entry.body))
         if known != (entry.kind, entry.body):
             raise InvariantError(f"index {entry.index} was committed as {known} and as {entry}")
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """Raise InvariantError if two replicas led one term.
 
         Also clears ``unhealed`` once the replica with the wiped disk is admitted.
         """
-        emptied = self.replicas.get(self.unhealed)
-        if emptied is not None and emptied.admitted:
-            self.unhealed = None
+        wiped = self.replicas.get(self.wiped_name)
+        if wiped is not None and wiped.admitted:
+            self.wiped_name = None
         for name, replica in self.replicas.items():
             if replica is not None and replica.role is Role.LEADER:
-                leader = self.leaders.setdefault(replica.term, name)
+                leader = self.leader_by_term.setdefault(replica.term, name)
                 if leader != name:
                     raise InvariantError(f"{leader} and {name} both led term {replica.term}")
 
@@ -259,32 +259,32 @@
         """Remove all faults and run until the group has converged, or for ``milliseconds``."""
         self.cuts.clear()
         self.frozen.clear()
-        self.restart_dead()
+        self.restart_stopped()
         end = self.now + milliseconds
         while self.now < end and not self.settled():
             for _ in range(len(self.in_flight)):
                 self.deliver(0)
             self.pass_time(10)
-            self.check()
+            self.check_invariants()
 
     def settled(self) -> bool:
         """Return whether the group has one leader and all replicas have the same log committed."""
         leaders = [r for r in self.replicas.values() if r is not None and r.role is Role.LEADER]
-        live = [replica for replica in self.replicas.values() if replica is not None]
+        running = [replica for replica in self.replicas.values() if replica is not None]
         return (
             len(leaders) == 1
-            and self.unhealed is None
-            and len({replica.commit for replica in live}) == 1
+            and self.wiped_name is None
+            and len({replica.commit for replica in running}) == 1
             and leaders[0].commit == leaders[0].log.last_index
-            and all(replica.admitted for replica in live)
+            and all(replica.admitted for replica in running)
         )
 
     def check_nothing_lost(self) -> None:
         """Raise InvariantError if a replica lacks a committed command after healing."""
         for name in self.names:
-            held = {index: (kind, body) for index, kind, body in self.applied[name]}
-            for index, (kind, body) in self.accepted.items():
-                if kind != NOOP and held.get(index) != (kind, body):
+            applied = {index: (kind, body) for index, kind, body in self.applied[name]}
+            for index, (kind, body) in self.committed_entries.items():
+                if kind != NOOP and applied.get(index) != (kind, body):
                     raise InvariantError(f"{name} lacks committed entry {index}: {kind} {body}")
 
 
@@ -296,10 +296,10 @@
 
 
 def run_schedule(
-    count: int, seed: int, steps: Iterator[int], kind: type[Replica] = Replica
+    count: int, seed: int, steps: Iterator[int], replica_class: type[Replica] = Replica
 ) -> ReplicaGroup:
     """Run a schedule of faults on a new group, heal, and check that no command was lost."""
-    group = ReplicaGroup(count, seed, kind)
+    group = ReplicaGroup(count, seed, replica_class)
     group.heal(3_000)
     for number in steps:
         group.step(number)
--- a/siskinspoke/testing/running_site.py
+++ b/siskinspoke/testing/running_site.py
@@ -8,25 +8,25 @@
 import msgspec
 
 from siskinspoke.loadgen.client import Caller
-from siskinspoke.testing.fleet import EngineSpec, Fleet, wait_until
+from siskinspoke.testing.fleet import Fleet, ServerSpec, wait_until
 from siskinspoke.testing.proxy import Endpoint, FaultProxy
 from siskinspoke.testing.site import (
     DOMAINS,
     engine,
     plain_service,
-    proxied,
     site_document,
+    with_proxy_address,
     write_site,
-    write_views,
+    write_vm_overlays,
 )
 
-LOSABLE_SECONDS = 15.0
+MEMORY_RETURN_TIMEOUT_SECONDS = 15.0
 
 
 class RunningSite:
     """The fleet and the fault proxy of one test."""
 
-    def __init__(self, fleet: Fleet, proxy: FaultProxy, specs: list[EngineSpec]):
+    def __init__(self, fleet: Fleet, proxy: FaultProxy, specs: list[ServerSpec]):
         self.fleet = fleet
         self.proxy = proxy
         self.specs = {spec.name: spec for spec in specs}
@@ -80,12 +80,14 @@
     def wait_memory_returned(self, *names: str) -> None:
         """Wait until the engines have no allocated memory and no reservations: nothing leaked."""
 
-        def whole(name: str) -> bool:
+        def is_empty(name: str) -> bool:
             state = self.server_state(name)
             return state["free_tokens"] == state["total_tokens"] and not state["reservations"]
 
         for name in names:
-            wait_until(lambda name=name: whole(name), f"{name} is empty", LOSABLE_SECONDS)
+            wait_until(
+                lambda name=name: is_empty(name), f"{name} is empty", MEMORY_RETURN_TIMEOUT_SECONDS
+            )
 
 
 def start_running_site(
@@ -101,16 +103,16 @@
 ) -> RunningSite:
     """Start a site of three failure domains behind a fault proxy; ``stack`` closes both."""
     files = write_site(net, folder, **changes)
-    endpoints = write_views(folder, site_document(net, folder, **changes))
+    endpoints = write_vm_overlays(folder, site_document(net, folder, **changes))
     specs = [
-        proxied(engine(net, domain, number, *engine_flags))
+        with_proxy_address(engine(net, domain, number, *engine_flags))
         for domain in range(len(DOMAINS))
         for number in range(1, engines_per_domain + 1)
     ]
     for domain in range(services):
         name = plain_service(net, domain, 1).name
         flags = (*service_flags, f"--run_log={folder / name}.runs")
-        specs.append(proxied(plain_service(net, domain, 1, *flags)))
+        specs.append(with_proxy_address(plain_service(net, domain, 1, *flags)))
     endpoints += [Endpoint(spec.host, (spec.port,)) for spec in specs]
     proxy = stack.enter_context(FaultProxy(endpoints))
     fleet = stack.enter_context(Fleet(folder, files.base, files.overlay))
--- a/siskinspoke/testing/server_account.py
+++ b/siskinspoke/testing/server_account.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 # Requests that a VM sent before it read the answer may still arrive this long after it.
-TOLD_SECONDS = 0.5
-LIMIT_SECONDS = 4.0
-LIMIT_SHARE = 1.5
-LIMIT_SLACK = 5
+IN_FLIGHT_SECONDS = 0.5
+LIMIT_WINDOW_SECONDS = 4.0
+LIMIT_TOLERANCE_FACTOR = 1.5
+LIMIT_TOLERANCE_REQUESTS = 5
 # Number of requests of a VM that are tolerated during its back-off.
-BACK_OFF_SLACK = 2
+BACK_OFF_TOLERANCE_REQUESTS = 2
 DRAIN_SECONDS = 2.0
 
 
@@ -21,8 +21,8 @@
 class BackOff:
     """An interval in which a server asked for no requests from a VM, and how many arrived."""
 
-    since: float
-    until: float
+    starts_at: float
+    ends_at: float
     arrivals: int = 0
 
 
@@ -32,26 +32,26 @@
     def __init__(self, server: str):
         self.broken: list[str] = []
         self._server = server
-        self._told_limit: dict[str, float] = {}
-        self._rates: deque[tuple[float, float]] = deque()
-        self._limited: deque[float] = deque()
+        self._limit_told_at: dict[str, float] = {}
+        self._rate_changes: deque[tuple[float, float]] = deque()
+        self._limited_arrivals: deque[float] = deque()
         self._back_offs: dict[str, list[BackOff]] = {}
-        self._told_leaving: dict[str, float] = {}
+        self._leave_told_at: dict[str, float] = {}
 
     def restarted(self) -> None:
         """Record a restart of the server, which clears everything that it has asked for."""
-        self._lift_limit()
+        self._clear_limit()
         self._back_offs.clear()
-        self._told_leaving.clear()
+        self._leave_told_at.clear()
 
-    def _lift_limit(self) -> None:
-        self._told_limit.clear()
-        self._rates.clear()
-        self._limited.clear()
+    def _clear_limit(self) -> None:
+        self._limit_told_at.clear()
+        self._rate_changes.clear()
+        self._limited_arrivals.clear()
 
     def disturbed(self, vm: str) -> None:
         """Record that a VM was restarted, suspended or partitioned, and may have lost its state."""
-        for told in (self._told_limit, self._back_offs, self._told_leaving):
+        for told in (self._limit_told_at, self._back_offs, self._leave_told_at):
             told.pop(vm, None)
 
     def answered(
@@ -64,50 +64,51 @@
     ) -> None:
         """Record an answer to a VM, with the rate limit, back-off or leave that it announces."""
         if back_off is not None:
-            wanted = BackOff(now + TOLD_SECONDS, now + back_off)
-            self._back_offs.setdefault(vm, []).append(wanted)
+            interval = BackOff(now + IN_FLIGHT_SECONDS, now + back_off)
+            self._back_offs.setdefault(vm, []).append(interval)
         if leaving:
-            self._told_leaving.setdefault(vm, now)
+            self._leave_told_at.setdefault(vm, now)
         if rate_limit is None:
-            self._lift_limit()
+            self._clear_limit()
             return
-        self._told_limit.setdefault(vm, now)
-        if not self._rates or self._rates[-1][1] != rate_limit:
-            self._rates.append((now, rate_limit))
+        self._limit_told_at.setdefault(vm, now)
+        if not self._rate_changes or self._rate_changes[-1][1] != rate_limit:
+            self._rate_changes.append((now, rate_limit))
 
     def arrived(self, vm: str, now: float) -> None:
         """Record a request of a VM, and a violation if it was not allowed."""
         self._check_limit(vm, now)
         self._check_back_off(vm, now)
-        if now - self._told_leaving.get(vm, now) > DRAIN_SECONDS:
-            late = now - self._told_leaving[vm]
+        if now - self._leave_told_at.get(vm, now) > DRAIN_SECONDS:
+            late = now - self._leave_told_at[vm]
             self.broken.append(
                 f"{self._server} got a request from {vm} {late:.1f} s after announcing its leave"
             )
 
     def _check_back_off(self, vm: str, now: float) -> None:
-        wanted = [item for item in self._back_offs.get(vm, []) if now < item.until]
-        self._back_offs[vm] = wanted
-        for item in wanted:
-            item.arrivals += now >= item.since
-            if item.arrivals > BACK_OFF_SLACK:
+        active = [item for item in self._back_offs.get(vm, []) if now < item.ends_at]
+        self._back_offs[vm] = active
+        for item in active:
+            item.arrivals += now >= item.starts_at
+            if item.arrivals > BACK_OFF_TOLERANCE_REQUESTS:
                 self.broken.append(
                     f"{self._server} asked {vm} to back off, but got {item.arrivals} requests"
                 )
 
     def _check_limit(self, vm: str, now: float) -> None:
-        if now - self._told_limit.get(vm, now) < TOLD_SECONDS:
+        if now - self._limit_told_at.get(vm, now) < IN_FLIGHT_SECONDS:
             return
-        since = now - LIMIT_SECONDS
-        self._limited.append(now)
-        while self._limited[0] < since:
-            self._limited.popleft()
-        while len(self._rates) > 1 and self._rates[1][0] < since:
-            self._rates.popleft()
-        rate = max(rate for _, rate in self._rates)
-        allowed = LIMIT_SHARE * rate * LIMIT_SECONDS + LIMIT_SLACK
-        if len(self._limited) > allowed:
+        since = now - LIMIT_WINDOW_SECONDS
+        self._limited_arrivals.append(now)
+        while self._limited_arrivals[0] < since:
+            self._limited_arrivals.popleft()
+        while len(self._rate_changes) > 1 and self._rate_changes[1][0] < since:
+            self._rate_changes.popleft()
+        rate = max(rate for _, rate in self._rate_changes)
+        allowed = LIMIT_TOLERANCE_FACTOR * rate * LIMIT_WINDOW_SECONDS + LIMIT_TOLERANCE_REQUESTS
+        if len(self._limited_arrivals) > allowed:
             self.broken.append(
-                f"{self._server} has a rate limit of {rate:g}/s but got {len(self._limited)}"
-                f" requests in {LIMIT_SECONDS:g} s; maximum {allowed:g}"
+                f"{self._server} has a rate limit of {rate:g}/s but got"
+                f" {len(self._limited_arrivals)} requests in {LIMIT_WINDOW_SECONDS:g} s;"
+                f" maximum {allowed:g}"
             )
--- a/siskinspoke/testing/site.py
+++ b/siskinspoke/testing/site.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from siskinspoke.testing.fleet import EngineSpec, write_keys
-from siskinspoke.testing.proxy import Endpoint, front
+from siskinspoke.testing.fleet import ServerSpec, write_keys
+from siskinspoke.testing.proxy import Endpoint, proxy_address
 
 DOMAINS = ("sala-a", "sala-b", "anexo")
 PUBLIC_PORT, INTERNAL_PORT, CONTROL_PORT, LINK_PORT, SERVER_PORT = 8400, 8401, 8402, 8403, 8500
@@ -90,7 +90,7 @@
     return SiteFiles(base, overlay)
 
 
-def write_views(folder: Path, document: dict) -> list[Endpoint]:
+def write_vm_overlays(folder: Path, document: dict) -> list[Endpoint]:
     """Write an overlay for each VM of a site behind the proxy; return the endpoints to proxy.
 
     A VM's overlay has its own real address, and the proxy addresses of all others.
@@ -105,33 +105,33 @@
     for section in ("entries", "controls"):
         for item in document[section]:
             view = document | {
-                part: [_seen_from(item["name"], other) for other in document[part]]
+                part: [_settings_for_viewer(item["name"], other) for other in document[part]]
                 for part in ("entries", "controls")
             }
             (folder / f"view-{item['name']}.json").write_bytes(msgspec.json.encode(view))
     return endpoints
 
 
-def _seen_from(viewer: str, item: dict) -> dict:
-    return item if item["name"] == viewer else item | {"host": front(item["host"])}
+def _settings_for_viewer(viewer: str, item: dict) -> dict:
+    return item if item["name"] == viewer else item | {"host": proxy_address(item["host"])}
 
 
-def proxied(spec: EngineSpec) -> EngineSpec:
+def with_proxy_address(spec: ServerSpec) -> ServerSpec:
     """Return the spec of a backend server that announces its proxy address."""
-    return spec._replace(advertise_host=front(spec.host))
+    return spec._replace(advertise_host=proxy_address(spec.host))
 
 
-def engine(net: int, domain: int, number: int, *flags: str) -> EngineSpec:
+def engine(net: int, domain: int, number: int, *flags: str) -> ServerSpec:
     """Return the spec of a stand-in engine."""
     name = f"engine-{DOMAINS[domain]}-{number}"
     host = address(net, domain, 100 + number)
-    return EngineSpec(name, DOMAINS[domain], host, SERVER_PORT, "redactor", flags)
+    return ServerSpec(name, DOMAINS[domain], host, SERVER_PORT, "redactor", flags)
 
 
-def plain_service(net: int, domain: int, number: int, *flags: str) -> EngineSpec:
+def plain_service(net: int, domain: int, number: int, *flags: str) -> ServerSpec:
     """Return the spec of a stand-in plain service."""
     name = f"despacho-{DOMAINS[domain]}-{number}"
     host = address(net, domain, 150 + number)
-    return EngineSpec(
+    return ServerSpec(
         name, DOMAINS[domain], host, SERVER_PORT, "despacho", flags, "standin-service"
     )
--- a/tests/testing/test_fleet.py
+++ b/tests/testing/test_fleet.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from siskinspoke.testing.fleet import EngineSpec, Fleet
+from siskinspoke.testing.fleet import Fleet, ServerSpec
 
 
 class TestAnnounceKey:
@@ -16,7 +16,7 @@
         """
         settings = SimpleNamespace(entries=(), internal_key=b"key")
         fleet = SimpleNamespace(folder=tmp_path, settings=settings, start=lambda *_: None)
-        spec = EngineSpec("engine-1", "sala-a", "127.0.0.1", 8600, "redactor", ())
+        spec = ServerSpec("engine-1", "sala-a", "127.0.0.1", 8600, "redactor", ())
         Fleet.start_server(fleet, spec)
         written = (tmp_path / "announce.key").stat().st_mtime_ns
         Fleet.start_server(fleet, spec)
@@ -27,6 +27,6 @@
         (tmp_path / "announce.key").write_bytes(b"old")
         settings = SimpleNamespace(entries=(), internal_key=b"key")
         fleet = SimpleNamespace(folder=tmp_path, settings=settings, start=lambda *_: None)
-        spec = EngineSpec("engine-1", "sala-a", "127.0.0.1", 8600, "redactor", ())
+        spec = ServerSpec("engine-1", "sala-a", "127.0.0.1", 8600, "redactor", ())
         Fleet.start_server(fleet, spec)
         assert (tmp_path / "announce.key").read_bytes() == b"key"
--- a/tests/testing/test_networks.py
+++ b/tests/testing/test_networks.py
@@ -6,7 +6,7 @@
 import pytest
 
 from siskinspoke.testing import networks
-from siskinspoke.testing.demo import engine_specs, moved
+from siskinspoke.testing.demo import relocate_settings, server_specs
 from siskinspoke.testing.fleet import Fleet, write_keys
 from siskinspoke.testing.group_site import GroupSite
 from siskinspoke.testing.networks import (
@@ -20,7 +20,7 @@
     site_nets,
     soak_nets,
 )
-from siskinspoke.testing.proxy import domain_of, front
+from siskinspoke.testing.proxy import domain_of, proxy_address
 from siskinspoke.testing.site import DOMAINS, address
 
 ROOT = Path(__file__).parents[2]
@@ -114,7 +114,7 @@
 
     def test_proxy_stays_in_the_network_of_its_site(self):
         hosts = [address(200, domain, 11) for domain in range(len(DOMAINS))]
-        fronts = [front(host) for host in hosts]
+        fronts = [proxy_address(host) for host in hosts]
         assert {second_octet(host) for host in fronts} == {200}
         assert len({*hosts, *fronts}) == 2 * len(DOMAINS)
         assert [domain_of(host) for host in hosts] == list(range(len(DOMAINS)))
@@ -136,16 +136,16 @@
         base, overlay = tmp_path / "examples/base.json", tmp_path / "examples/litoral.json"
         base.parent.mkdir()
         base.write_text((ROOT / "examples/base.json").read_text())
-        overlay.write_text(moved(example, net))
+        overlay.write_text(relocate_settings(example, net))
         with Fleet(tmp_path / "run/litoral", base, overlay) as fleet:
             vms = [*fleet.settings.entries, *fleet.settings.controls]
-            hosts = [item.host for item in (*vms, *engine_specs(fleet))]
+            hosts = [item.host for item in (*vms, *server_specs(fleet))]
         assert {second_octet(host) for host in hosts} == {net}
-        assert json.loads(example) == json.loads(moved(example, 10))
+        assert json.loads(example) == json.loads(relocate_settings(example, 10))
 
     def test_two_demonstrations_share_no_folder(self):
         example = (ROOT / "examples/litoral.json").read_text()
-        sites = [json.loads(moved(example, net)) for net in (10, 80)]
+        sites = [json.loads(relocate_settings(example, net)) for net in (10, 80)]
         mine, others = (
             {item["data_folder"] for part in ("entries", "controls") for item in site[part]} - {""}
             for site in sites
