--- a/tests/testing/test_fleet.py
+++ b/tests/testing/test_fleet.py
@@ -1,4 +1,4 @@
-"""How a fleet starts its processes."""
+"""Tests of how a fleet starts its processes."""
 
 from types import SimpleNamespace
 
@@ -6,13 +6,13 @@
 
 
 class TestAnnounceKey:
-    """The key with which stand-in servers seal what they announce."""
+    """The file with the key that stand-in servers seal their announcements with."""
 
-    def test_is_not_written_beside_servers_that_read_it(self, tmp_path):
-        """A site does not come up: one of its engines is heard by nobody.
+    def test_is_not_rewritten_if_unchanged(self, tmp_path):
+        """The announcements of an engine are rejected, and the site does not start.
 
-        Each start of a server wrote the key's file anew, and a server that read it in that moment
-        found it empty.
+        If each start of a server rewrites the key file, another server that reads it at that
+        moment finds it empty and seals its announcements with an empty key.
         """
         settings = SimpleNamespace(entries=(), internal_key=b"key")
         fleet = SimpleNamespace(folder=tmp_path, settings=settings, start=lambda *_: None)
--- a/tests/testing/test_networks.py
+++ b/tests/testing/test_networks.py
@@ -1,4 +1,4 @@
-"""Tests of the networks that one run takes, and of the sites that lie in them."""
+"""Tests of the networks allocated to a run, and of the sites within them."""
 
 import json
 from pathlib import Path
@@ -29,12 +29,12 @@
 
 
 def second_octet(host: str) -> int:
-    """Return the number of the network that a host lies in."""
+    """Return the second octet of an address, which identifies its network."""
     return int(host.split(".")[1])
 
 
-def taken(environment: dict) -> list[int]:
-    """Return each network as often as a run takes it."""
+def allocated_nets(environment: dict) -> list[int]:
+    """Return the networks that a run uses, with duplicates if allocations overlap."""
     run = networks_from(environment)
     shared = [*run.demonstration, *run.groups, *run.bench]
     workers = [environment | {WORKER: f"gw{number}"} for number in range(WORKERS)]
@@ -42,81 +42,81 @@
 
 
 class TestOneRun:
-    """What a run takes lies within its range, and no two parts of it overlap."""
+    """The networks of a run are within its range, and no two allocations overlap."""
 
     @pytest.mark.parametrize("first", [1, 10, 80, 150, HIGHEST_FIRST])
-    def test_stays_in_its_range(self, first):
-        nets = taken({FIRST_NET: str(first)})
+    def test_is_within_its_range(self, first):
+        nets = allocated_nets({FIRST_NET: str(first)})
         assert len(nets) == len(set(nets))
         assert min(nets) == first
         assert max(nets) == first + NETS_PER_RUN - 1 <= 254
 
     def test_default(self):
-        """The demonstration and the sites lie where the docs and earlier logs have them."""
+        """The default networks are those that documentation and earlier logs refer to."""
         run = networks_from({})
         assert run.demonstration == range(10, 11)
         assert site_nets({}) == site_nets({WORKER: "gw0"}) == range(20, 40)
         assert site_nets({WORKER: "gw2"}) == range(60, 80)
 
-    def test_three_runs_side_by_side(self):
-        nets = [net for first in ("10", "80", "150") for net in taken({FIRST_NET: first})]
+    def test_three_concurrent_runs_do_not_overlap(self):
+        nets = [net for first in ("10", "80", "150") for net in allocated_nets({FIRST_NET: first})]
         assert len(nets) == len(set(nets))
 
     def test_group_sites_share_one_network(self):
-        """They differ in the third octet, whatever the first network is."""
+        """Their third octets are distinct, whatever the first network is."""
         kinds = (group_nets, soak_nets)
         workers = [{WORKER: f"gw{number}", FIRST_NET: "80"} for number in range(WORKERS)]
-        thirds = [net for worker in workers for kind in kinds for net in kind(worker)]
-        thirds += [networks.FEED_SLOPES, *networks.SOAK_BY_HAND]
-        assert len(thirds) == len(set(thirds))
-        assert 0 <= min(thirds) <= max(thirds) <= 255
+        third_octets = [net for worker in workers for kind in kinds for net in kind(worker)]
+        third_octets += [networks.FEED_SLOPES, *networks.SOAK_BY_HAND]
+        assert len(third_octets) == len(set(third_octets))
+        assert 0 <= min(third_octets) <= max(third_octets) <= 255
 
 
-class TestFaults:
-    """A bad value is refused with a number and what to do about it."""
+class TestInvalidEnvironment:
+    """An invalid value is rejected with an error number and a hint."""
 
     @pytest.mark.parametrize("value", ["", "ten", "1.5", "-1", "+10", "1_0", " 10", "١٠"])
-    def test_no_whole_number(self, value):
+    def test_not_an_integer(self, value):
         with pytest.raises(NetworksError, match=r"SISKINSPOKE_FIRST_NET: \(networks.E001\)"):
             networks_from({FIRST_NET: value})
 
     @pytest.mark.parametrize("value", ["0", str(HIGHEST_FIRST + 1), "254", "1000"])
-    def test_leaves_the_range(self, value):
+    def test_out_of_range(self, value):
         with pytest.raises(NetworksError, match=r"networks.E002(.|\n)*HINT: 1 to 185"):
             networks_from({FIRST_NET: value})
 
     @pytest.mark.parametrize("nets", [site_nets, group_nets, soak_nets])
-    def test_more_workers_than_a_run_has_room_for(self, nets):
-        """They would take the networks of the next run."""
+    def test_too_many_workers(self, nets):
+        """Additional workers would use the networks of the next run."""
         with pytest.raises(NetworksError, match=r"networks.E003"):
             nets({WORKER: f"gw{WORKERS}"})
 
 
-class TestInTurn:
-    """Sites of one worker take its networks one after the other."""
+class TestCycle:
+    """The sites of one worker cycle through its networks."""
 
-    def test_begins_again_after_the_last(self, monkeypatch):
+    def test_wraps_around(self, monkeypatch):
         monkeypatch.setenv(WORKER, "gw1")
         monkeypatch.setenv(FIRST_NET, "80")
-        take = in_turn(site_nets)
-        assert [take() for _ in range(21)] == [*range(110, 130), 110]
+        next_net = in_turn(site_nets)
+        assert [next_net() for _ in range(21)] == [*range(110, 130), 110]
 
-    def test_fault_shows_each_time(self, monkeypatch):
+    def test_error_is_raised_on_each_call(self, monkeypatch):
         monkeypatch.setenv(FIRST_NET, "ten")
-        take = in_turn(site_nets)
+        next_net = in_turn(site_nets)
         for _ in range(2):
             with pytest.raises(NetworksError, match="E001"):
-                take()
+                next_net()
 
 
 class TestSites:
-    """Each helper keeps to the networks of the run."""
+    """Each test helper uses only the networks of its run."""
 
-    def test_proxy_stays_in_the_network_of_its_site(self):
+    def test_proxy_is_in_the_network_of_its_site(self):
         hosts = [address(200, domain, 11) for domain in range(len(DOMAINS))]
-        fronts = [proxy_address(host) for host in hosts]
-        assert {second_octet(host) for host in fronts} == {200}
-        assert len({*hosts, *fronts}) == 2 * len(DOMAINS)
+        proxy_hosts = [proxy_address(host) for host in hosts]
+        assert {second_octet(host) for host in proxy_hosts} == {200}
+        assert len({*hosts, *proxy_hosts}) == 2 * len(DOMAINS)
         assert [domain_of(host) for host in hosts] == list(range(len(DOMAINS)))
 
     def test_group_site(self, monkeypatch, tmp_path):
@@ -154,11 +154,11 @@
         assert not mine & others
 
 
-class TestOnePlace:
-    """Nobody else works out networks from the environment."""
+class TestSingleReader:
+    """Only one module reads the networks from the environment."""
 
     @pytest.mark.parametrize("name", [FIRST_NET, WORKER])
-    def test_variable_is_read_once(self, name):
+    def test_variable_is_named_in_one_module(self, name):
         paths = [path for part in ("siskinspoke", "tests") for path in (ROOT / part).rglob("*.py")]
-        naming = [path for path in paths if name in path.read_text()]
-        assert sorted(path.name for path in naming if path != Path(__file__)) == ["networks.py"]
+        matches = [path for path in paths if name in path.read_text()]
+        assert sorted(path.name for path in matches if path != Path(__file__)) == ["networks.py"]
--- a/tests/testing/test_server_account.py
+++ b/tests/testing/test_server_account.py
@@ -1,10 +1,10 @@
-"""The account by which stand-in servers know whether VMs keep to what they ask for."""
+"""Tests of the checks that VMs comply with what a stand-in server has announced."""
 
 from siskinspoke.testing.server_account import ServerAccount
 
 
-def limited(rate: float = 1.0) -> ServerAccount:
-    """Return the account of a server that has told VMs a and b its limit at 0 s."""
+def limited_account(rate: float = 1.0) -> ServerAccount:
+    """Return the account of a server that has told VMs a and b its rate limit at 0 s."""
     account = ServerAccount("i-1")
     for vm in ("a", "b"):
         account.answered(vm, 0.0, rate)
@@ -12,35 +12,35 @@
 
 
 class TestRateLimit:
-    """One and a half times the limit and five requests, in any 4 s, over all VMs."""
+    """All VMs together may send 1.5 times the limit plus five requests in any 4 s."""
 
-    def test_allowed(self):
-        account = limited()
+    def test_at_the_limit(self):
+        account = limited_account()
         for number in range(11):
             account.arrived("ab"[number % 2], 1.0 + number / 10)
         assert not account.broken
 
-    def test_one_too_many_over_two_vms(self):
-        account = limited()
+    def test_one_above_the_limit_across_two_vms(self):
+        account = limited_account()
         for number in range(12):
             account.arrived("ab"[number % 2], 1.0 + number / 10)
         assert len(account.broken) == 1
 
     def test_window_slides(self):
-        account = limited()
+        account = limited_account()
         for number in range(60):
             account.arrived("a", 1.0 + number * 0.4)
         assert not account.broken
 
-    def test_vm_that_was_not_told_is_not_counted(self):
-        account = limited()
+    def test_uninformed_vm_is_not_counted(self):
+        account = limited_account()
         for number in range(30):
             account.arrived("c", 1.0 + number / 10)
             account.arrived("a", 0.4)
         assert not account.broken
 
-    def test_disturbed_vm_is_excused_until_it_is_told_again(self):
-        account = limited()
+    def test_disturbed_vm_is_exempt_until_informed_again(self):
+        account = limited_account()
         account.disturbed("a")
         for number in range(30):
             account.arrived("a", 1.0 + number / 10)
@@ -50,8 +50,8 @@
             account.arrived("a", 11.0 + number / 10)
         assert account.broken
 
-    def test_answer_without_a_limit_ends_it(self):
-        account = limited()
+    def test_answer_without_a_limit_clears_it(self):
+        account = limited_account()
         account.answered("a", 0.5, None)
         for number in range(30):
             account.arrived("a", 1.0 + number / 10)
@@ -59,9 +59,9 @@
 
 
 class TestBackOff:
-    """Two requests at most between half a second after the answer and the end of the time."""
+    """A VM may send two requests from 0.5 s after the answer until its back-off ends."""
 
-    def test_two_requests_on_their_way(self):
+    def test_two_requests_in_flight(self):
         account = ServerAccount("i-1")
         account.answered("a", 0.0, None, back_off=3.0)
         for now in (0.1, 0.2, 0.3, 0.4, 1.0, 2.0, 3.1, 3.2, 3.3):
@@ -78,7 +78,7 @@
 
 
 class TestLeave:
-    """Nothing later than the drain time after the answer that told of the leave."""
+    """A VM may send no request later than the drain time after it was told of the leave."""
 
     def test_late_request(self):
         account = ServerAccount("i-1")
