--- a/siskinspoke/bench/pass_bench.py
+++ b/siskinspoke/bench/pass_bench.py
@@ -1,7 +1,11 @@
-"""Placement before engines that compute in passes, in virtual time.
+"""Simulate placement onto engines that compute in passes, in virtual time.
 
-The real ``Placement`` and ``Books`` decide; engines, arrivals and the lateness of the books are
-modelled.  Run ``python -m siskinspoke.bench.pass_bench`` for the table of all loads.
+The placement and its table of assigned work are the product's; engines, arrivals and the delay of
+updates to the table are modelled.
+
+Usage: python -m siskinspoke.bench.pass_bench
+
+Prints a table of all loads.
 """
 
 import heapq
@@ -22,22 +26,26 @@
 LARGE = EngineCosts(6, 267_750, 57, 0.85, 0.0085, 0.00285, 177.0, 0.184)
 HUGE = EngineCosts(5, 315_000, 80, 0.85, 0.0085, 0.00285, 177.0, 0.184)
 SLOW_STEPS = EngineCosts(8, 232_000, 43, 1.02, 0.00452, 0.00431, 206.0, 0.138)
-# Most prompt tokens that one step of a pass reads.
+# Maximum number of prompt tokens that one step of a pass prefills.
 CHUNK_TOKENS = 2_048
-# What one token of an answer weighs against one of a prompt in the size of a generation.
+# Weight of an output token relative to a prompt token in the size of a request.
 ANSWER_WEIGHT = 10
 MOST_SIZE = 4.0
-# A caller that has had nothing for this long leaves, and comes back once: the longest of 2 s,
-# four times the target and eight times the longest pause of use.
+# A caller disconnects and retries once if it has received nothing for its patience, which is the
+# longest of this, four times the target for the first token and eight times the allowed pause.
 LEAST_PATIENCE_MS = 2_000.0
-# A caller that is refused comes back once, after this time.
+# A rejected caller retries once, after this time.
 COME_BACK_MS = 500.0
-# Entry VMs that are started together have their configuration within this time of each other.
+# Entry VMs that start together receive their configuration within this time of each other.
 BACKLOG_MS = 60.0
 
 
 class Kind(NamedTuple):
-    """One kind of prompt; times in milliseconds, ``on_time`` and ``late`` are its worth."""
+    """A class of prompts.
+
+    ``tokens`` and ``events`` are means; ``on_time`` and ``late`` are the values of an answer that
+    meets its target and of one that misses it.
+    """
 
     name: str
     tokens: float
@@ -51,7 +59,7 @@
 
     @property
     def patience_ms(self) -> float:
-        """Return how long a caller waits for a first token."""
+        """Return how long a caller waits for the first token before it disconnects."""
         return max(LEAST_PATIENCE_MS, 4 * self.target_ms, 8 * self.pause_ms)
 
 
@@ -61,9 +69,10 @@
 
 
 class Load(NamedTuple):
-    """A fleet and what arrives at it, a second, by kind.
+    """A fleet and its arrival rates, in prompts per second of each kind.
 
-    ``backlog`` is how many short prompts come at once in the beginning, having waited.
+    ``lag_ms`` is the delay of updates to the table of assigned work.  ``backlog`` is the number of
+    short prompts that have been waiting and arrive together at the start.
     """
 
     name: str
@@ -82,7 +91,7 @@
     lag_ms: float = 3.0,
     backlog: int = 0,
 ) -> Load:
-    """Return a load of so many short, middle and long prompts a second."""
+    """Return a load with rates of short, middle and long prompts per second."""
     kinds = tuple(zip((SHORT, MIDDLE, LONG), rates, strict=True))
     return Load(name, costs, engines, kinds, lag_ms, backlog)
 
@@ -109,14 +118,14 @@
     load("heavy overload", SMALL, 23, 95.0, 1.6, 1.2, lag_ms=5.0),
     load("overload with a third lost", SMALL, 16, 60.0, 1.6, 1.2, lag_ms=5.0),
 )
-# Waits in units of the target from which a prompt might be refused at once.
+# Limits to compare for rejecting a prompt on arrival: the expected wait, in units of its target.
 MOST_WAITS = (math.inf, 3.0, 2.0, 1.5, 1.0, 0.7)
 
 
 class CellPlacement(Placement):
     """Place each prompt in one of several cells, as an entry VM of that cell would.
 
-    ``widens`` tells whether a cell that is short asks two others.
+    ``widens`` tells whether a cell that lacks room asks ``ASKED_CELLS`` others for offers.
     """
 
     def __init__(self, books: Books, cells: int, widens: bool = True):
@@ -132,7 +141,7 @@
         now: float,
         rng: random.Random,
     ) -> Place | None:
-        """Return where a job goes that has come to a cell drawn by lot."""
+        """Return the place for a job that arrives at a random cell."""
         own, *others = rng.sample(range(self._cells), 1 + ASKED_CELLS)
         found = self._in_cell(own, costs, job, candidates, now, rng)
         if not self._widens or not is_short(found, job.target_ms):
@@ -155,7 +164,7 @@
 
 @dataclass
 class Prompt:
-    """One request of the run, and what became of it."""
+    """One request of the run and its outcome."""
 
     kind: Kind
     job: Job
@@ -175,14 +184,14 @@
 
     @property
     def size(self) -> float:
-        """Return the size against its kind's mean, at most four times."""
+        """Return the size relative to the mean of the kind, capped at ``MOST_SIZE``."""
         own = self.job.tokens + ANSWER_WEIGHT * self.job.max_tokens
         mean = self.kind.tokens + ANSWER_WEIGHT * self.kind.events * 51
         return min(MOST_SIZE, 0.3 + 0.7 * own / mean)
 
     @property
     def earned(self) -> float:
-        """Return the worth of the answer as the caller got it."""
+        """Return the value of the answer that the caller received."""
         if not self.ended:
             came_back = self.again is not None and self.again.ended
             return self.size * self.kind.late if came_back else 0.0
@@ -192,13 +201,13 @@
 
     @property
     def owed(self) -> float:
-        """Return the worth of an answer on time."""
+        """Return the value of an answer on time."""
         return self.size * self.kind.on_time
 
 
 @dataclass
 class ModelEngine:
-    """One engine: prompts that write, parts that wait, and the pass under way."""
+    """The state of one engine: decoding prompts, prompt parts to prefill, and the current pass."""
 
     name: str
     costs: EngineCosts
@@ -210,11 +219,11 @@
     busy: bool = False
 
     def begin_pass(self) -> tuple[float, list[Prompt]] | None:
-        """Start a pass; return its length and the prompts whose part it reads."""
+        """Start a pass; return its duration and the prompts whose parts it prefills."""
         if not self.waiting and not self.writers:
             return None
         budget = CHUNK_TOKENS * self.costs.pass_steps
-        # Parts of others' prompts go ahead of this engine's own.
+        # Parts of prompts that other engines decode take precedence over the engine's own prompts.
         self.waiting.sort(key=lambda item: item.servers[0] == self.name)
         reads: list[Prompt] = []
         for prompt in self.waiting:
@@ -231,7 +240,7 @@
 
 
 class Run:
-    """One run of a load under a placement."""
+    """One simulation run of a load with a placement policy."""
 
     def __init__(
         self,
@@ -259,7 +268,7 @@
         heapq.heappush(self._events, (self.now + delay, next(self._order), act, args))
 
     def play(self, seconds: float) -> list[Prompt]:
-        """Let prompts arrive for a time and all of them end; return them."""
+        """Generate arrivals for ``seconds``, run until all prompts have ended and return them."""
         for _ in range(self._load.backlog):
             self._after(self._rng.uniform(0, BACKLOG_MS), self._arrive, SHORT)
         for kind, rate in self._load.rates:
@@ -288,7 +297,7 @@
         self._after(kind.patience_ms, self._leave, prompt)
 
     def _leave(self, prompt: Prompt) -> None:
-        """Let a caller go that has had nothing, and come back once."""
+        """Disconnect a caller that has received nothing; its first attempt is retried once."""
         if prompt.first_ms is not None or prompt.gone:
             return
         prompt.gone = True
@@ -304,7 +313,7 @@
             self._after(prompt.kind.patience_ms, self._leave, prompt.again)
 
     def _free(self, head: ModelEngine, prompt: Prompt) -> None:
-        """Give a prompt's slot to the next that waits for one."""
+        """Release a prompt's slot and admit the next prompt in the queue."""
         self._after(self._load.lag_ms, self._books.end, str(id(prompt)))
         if prompt in head.queue:
             head.queue.remove(prompt)
@@ -314,7 +323,7 @@
             self._admit(head.queue.pop(0))
 
     def _wait_of(self, prompt: Prompt, place: Place) -> float:
-        """Return the part of an expected first token that is not the prompt's own reading."""
+        """Return the expected time to first token without the prompt's own prefill."""
         return place.first_token_ms - read_ms(
             self._load.costs, prompt.job.tokens, len(place.servers)
         )
@@ -392,7 +401,7 @@
 
 
 class Outcome(NamedTuple):
-    """Shares of the worth owed, of all and by kind, and mean engines a long prompt."""
+    """Earned fractions of the value owed, in total and by kind, and engines per long prompt."""
 
     earned: float
     by_kind: dict[str, float]
@@ -400,7 +409,7 @@
 
 
 def outcome_of(prompts: Sequence[Prompt]) -> Outcome:
-    """Return what a run earned."""
+    """Return the outcome of a set of prompts."""
 
     def share(chosen: Sequence[Prompt]) -> float:
         return sum(item.earned for item in chosen) / max(1e-9, sum(item.owed for item in chosen))
@@ -415,7 +424,7 @@
 
 
 def main() -> None:
-    """Print a table of all loads, and of refusing at once what would wait too long."""
+    """Print a table of all loads, with and without rejecting prompts with a long expected wait."""
     for item in LOADS:
         for most_wait in MOST_WAITS:
             runs = [Run(item, seed, most_wait=most_wait) for seed in (1, 2, 3)]
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the benches."""
+"""Tests of the benchmarks."""
--- a/tests/bench/test_pass_bench.py
+++ b/tests/bench/test_pass_bench.py
@@ -1,4 +1,4 @@
-"""Replays of loads that placement was changed for, on engines that compute in passes."""
+"""Regression tests of placement on engines that compute in passes, under difficult loads."""
 
 from functools import partial
 
@@ -11,17 +11,18 @@
 
 
 def earned(name: str) -> float:
-    """Return the mean share of the worth owed that a load earns."""
+    """Return the mean fraction of the value owed that placement earns under a load."""
     outcomes = [outcome_of(Run(BY_NAME[name], seed).play(SECONDS)) for seed in SEEDS]
     return sum(item.earned for item in outcomes) / len(outcomes)
 
 
 class TestLoads:
-    """Short prompts spread over all engines leave none for long ones to be read at.
+    """Short prompts spread over all engines leave none free to prefill long prompts.
 
-    A long prompt then stops the streams of every engine that reads a part of it for longer than
-    they may, or is read by few engines and late itself.  Packed on few engines, short prompts
-    leave the others free.  Spread as before they earn 0.77, 0.93 and 0.92 of these three loads.
+    A long prompt then either interrupts the streams of every engine that prefills a part of it for
+    longer than the allowed pause, or is prefilled by few engines and late itself.  Packing short
+    prompts on few engines leaves the others free.  Spreading them earns only 0.77, 0.93 and 0.92
+    under these three loads.
     """
 
     @pytest.mark.parametrize(
@@ -40,11 +41,11 @@
 
 
 class TestPile:
-    """All VMs have lost their books, and 45 callers have waited for them to start again.
+    """All VMs have restarted with empty tables of assigned work, while 45 callers were waiting.
 
-    Each VM lets its callers' prompts go within 60 ms, before it has heard of the others'.  All
-    choose the engine that gathers streams; with a pile of prompts to be read there, those behind
-    are late though engines beside it are idle.  Without a limit on the pile they earn 0.90.
+    Each VM sends its callers' prompts within 60 ms, before it knows of those of the others.  All
+    choose the engine on which streams are packed; prompts queue for prefill there and are late,
+    although other engines are idle.  Without a limit on that queue they earn 0.90.
     """
 
     SEEDS = range(1, 41)
@@ -57,7 +58,7 @@
 
 
 class TestModel:
-    """The engine model keeps to the arithmetic of passes."""
+    """The simulation completes all prompts and is deterministic."""
 
     def test_every_prompt_ends(self):
         prompts = Run(BY_NAME["calm"], 1).play(4.0)
@@ -70,10 +71,10 @@
 
 
 class TestCells:
-    """A fleet of 195 engines in ten cells, each of which knows of a tenth of the work alone.
+    """A fleet of 195 engines in ten cells, each of which knows only a tenth of the work.
 
-    Prompts come in clumps: one cell's engines are full of long prompts, or lost, while those of
-    others are free.  A cell that is short asks four others, and the best offer is taken.
+    Load is uneven: the engines of one cell are full of long prompts, or lost, while those of others
+    are free.  A cell that lacks room asks four others, and the best offer is taken.
     """
 
     SEEDS = (1, 2, 3, 4)
