--- a/siskinspoke/bench/plots.py
+++ b/siskinspoke/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plain bar charts as SVG, for reports that people look at."""
+"""Bar charts as SVG for the benchmark reports."""
 
 from xml.sax.saxutils import escape
 
@@ -6,7 +6,7 @@
 
 
 def bar_chart(title: str, bars: dict[str, float]) -> str:
-    """Return an SVG of horizontal bars, each with its value."""
+    """Return an SVG document with one labelled horizontal bar for each item."""
     height = 40 + len(bars) * (BAR + GAP)
     scale = (WIDTH - LEFT - 70) / max(bars.values())
     parts = [
--- a/siskinspoke/bench/policies.py
+++ b/siskinspoke/bench/policies.py
@@ -1,4 +1,4 @@
-"""The router of the product and the baselines that it is held against."""
+"""Routing policies to compare: the product's router, baselines and alternatives."""
 
 import itertools
 import random
@@ -16,42 +16,42 @@
 
 @dataclass(frozen=True)
 class Product:
-    """The router as it runs in the product: priorities by length at every engine."""
+    """The product's router: engines schedule prompts with priorities by length."""
 
 
 @dataclass(frozen=True)
 class RandomChoice:
-    """Baseline: any server."""
+    """Baseline: a random server."""
 
 
 @dataclass(frozen=True)
 class RoundRobin:
-    """Baseline: one server after the other."""
+    """Baseline: the servers in rotation."""
 
 
 @dataclass(frozen=True)
 class LeastRequests:
-    """Baseline: the server with the fewest requests, as reported and as sent since."""
+    """Baseline: the server with the fewest requests, reported and sent since."""
 
 
 @dataclass(frozen=True)
 class LeastTokens:
-    """Baseline: the server with the least prefill work, as reported and as sent since."""
+    """Baseline: the server with the least prefill work, reported and sent since."""
 
 
 @dataclass(frozen=True)
 class SharedPool:
-    """Alternative 1: the product's estimate without priorities."""
+    """Alternative 1: the product's time estimate, without priorities."""
 
 
 @dataclass(frozen=True)
 class FixedIntervals:
-    """Alternative 2: long prompts have a fixed share of the servers, without priorities."""
+    """Alternative 2: a fixed share of the servers is reserved for long prompts; no priorities."""
 
 
 @dataclass(frozen=True)
 class MovingIntervals:
-    """Alternative 3: that share follows the share of long work, without priorities."""
+    """Alternative 3: the reserved share follows the share of long work; no priorities."""
 
 
 Policy = (
@@ -78,7 +78,7 @@
 
 
 class PolicyRouter(Router):
-    """A router whose choice follows a policy; the books are the product's for all."""
+    """A router that selects servers by a policy; bookkeeping is the product's for all policies."""
 
     def __init__(self, directory: Directory, policy: Policy, seed: int):
         super().__init__(directory, PrefixIndex(), "bench")
@@ -89,15 +89,15 @@
 
     @property
     def uses_priorities(self) -> bool:
-        """Tell whether engines see priorities."""
+        """Return whether engines are given priorities."""
         return isinstance(self._policy, Product)
 
     def rank(self, work: Work) -> int:
-        """Return the priority that the engine sees."""
+        """Return the priority that is sent to the engine."""
         return work.rank if self.uses_priorities else 0
 
     def choose(self, work: Work, now: float, rng: random.Random) -> Result[Choice, Failure]:
-        """Choose by the policy."""
+        """Choose a server by the policy."""
         serving = self.directory.serving(work.service, now)
         if not serving:
             return Error(Failure(ResultCode.NO_SERVER, "none"))
@@ -137,7 +137,7 @@
         return self.estimate_ms(record, work._replace(priority=RANKS), now)
 
     def _observed_share(self, work: Work) -> float:
-        """Return the share of long work among recent work."""
+        """Return the share of long prompts in recent work, exponentially weighted."""
         self._all_work = self._all_work * 0.995 + work.prompt_tokens
         long_work = work.prompt_tokens if work.length_class == 2 else 0
         self._long_work = self._long_work * 0.995 + long_work
--- a/siskinspoke/bench/policy_bench.py
+++ b/siskinspoke/bench/policy_bench.py
@@ -1,6 +1,7 @@
-"""Run a mix of requests through several VMs' routers onto engine models, in virtual time.
+"""Simulate routing by several VMs onto engine models, in virtual time.
 
-Only decisions and engines are real; there is no network, so reports come with a fixed lag.
+The routers and the engine model are the product's.  There is no network: reports of engines arrive
+after a fixed delay.
 """
 
 import heapq
@@ -32,7 +33,7 @@
 
 
 class Scenario(NamedTuple):
-    """What one run of the bench is made of."""
+    """The parameters of one simulation run."""
 
     mix: Mix
     policy: Policy = Product()
@@ -50,7 +51,7 @@
 
 
 class Result(NamedTuple):
-    """What became of one request; times in milliseconds."""
+    """The outcome of one request; times in milliseconds."""
 
     arrival: Arrival
     length_class: int
@@ -62,7 +63,7 @@
 
     @property
     def on_time(self) -> bool:
-        """Tell whether the whole answer came before its deadline."""
+        """Return whether the complete answer arrived before its deadline."""
         return self.total_ms is not None and self.total_ms <= self.timeout_ms
 
 
@@ -76,7 +77,7 @@
 
 
 class PolicyBench:
-    """Own the virtual clock, the engines and the routers of one run."""
+    """One simulation run, with its virtual clock, engines and routers."""
 
     def __init__(self, scenario: Scenario):
         self.scenario = scenario
@@ -100,7 +101,7 @@
         self._weights = dict.fromkeys(scenario.mix.customers, 1.0)
 
     def run(self) -> list[Result]:
-        """Run to the end of the last request and return all results."""
+        """Run until all requests have ended and return their results."""
         scenario = self.scenario
         for index in range(scenario.engines):
             self._at(index * REPORT_MS / scenario.engines, lambda index=index: self._report(index))
@@ -121,7 +122,7 @@
         heapq.heappush(self._events, (when, self._count, act))
 
     def _report(self, index: int) -> None:
-        """Send an engine's state to every router, some time later."""
+        """Send the state of an engine to every router, with the reporting delay."""
         engine = self._engines[index]
         self._seq[index] += 1
         said = Announcement(
@@ -188,7 +189,7 @@
             self._step(index)
 
     def _fair(self, entry: int, arrival: Arrival, choice, timeout: float) -> bool:
-        """Apply the product's admission by fair share."""
+        """Return whether the product's fair-share admission accepts a request."""
         if not (self.scenario.admission and isinstance(self.scenario.policy, Product)):
             return True
         shares = self._shares[entry]
@@ -200,7 +201,10 @@
         return True
 
     def _blocks(self, arrival: Arrival) -> list[int]:
-        """Name the prompt's blocks: a shared head by customer and template, then its own."""
+        """Return the block hashes of a prompt.
+
+        The first blocks are shared by prompts with equal customer and template.
+        """
         total = arrival.prompt_tokens // BLOCK_TOKENS
         shared = int(total * self.scenario.mix.shared)
         head = xxhash.xxh32_intdigest(f"{arrival.customer}/{arrival.template}".encode())
@@ -258,17 +262,17 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile, or NaN where there is nothing."""
+    """Return a percentile, or NaN if there are no values."""
     return float(np.percentile(values, share * 100)) if values else float("nan")
 
 
 def first_tokens(results: list[Result], kind: int) -> list[float]:
-    """Return times to first token of one length class."""
+    """Return the times to first token of one length class."""
     return [r.first_ms for r in results if r.length_class == kind and r.first_ms is not None]
 
 
 def stretches(results: list[Result], kind: int) -> list[float]:
-    """Return times to first token as multiples of the uncached prefill alone."""
+    """Return the times to first token of one length class, relative to an uncached prefill."""
     return [
         r.first_ms / r.ideal_ms
         for r in results
@@ -277,19 +281,20 @@
 
 
 def work_of(result: Result) -> int:
-    """Return the tokens of work that a request asks for."""
+    """Return the work that a request asks for, in tokens."""
     return work_tokens(result.arrival.prompt_tokens, result.arrival.max_tokens)
 
 
 def offered_work_rate(results: list[Result], seconds: float) -> float:
-    """Return the tokens of work a second that callers asked for."""
+    """Return the requested work in tokens per second."""
     return sum(work_of(item) for item in results) / seconds
 
 
 def useful_work_rate(results: list[Result], seconds: float) -> float:
-    """Return the tokens of work a second that ended whole and on time.
+    """Return the work completed on time, in tokens per second.
 
-    The first third fills the queues; it and the tail after the last arrival do not count.
+    The first third of the run, in which queues fill, and the time after the last arrival are
+    excluded.
     """
     began, ended = seconds * 1000 / 3, seconds * 1000
     done = [
@@ -301,13 +306,13 @@
 
 
 def on_time_share(results: list[Result], kind: int) -> float:
-    """Return the share of a length class's requests that ended whole and on time."""
+    """Return the fraction of the requests of a length class that were completed on time."""
     found = [item.on_time for item in results if item.length_class == kind]
     return sum(found) / len(found) if found else float("nan")
 
 
 def max_min_shares(demands: dict[str, float], capacity: float) -> dict[str, float]:
-    """Return what each customer gets when none may gain at the cost of one that has less."""
+    """Return the max-min fair allocation of a capacity among customers with given demands."""
     shares: dict[str, float] = {}
     left = dict(demands)
     while left:
@@ -322,9 +327,10 @@
 
 
 def fairness_index(results: list[Result]) -> float:
-    """Return Jain's index of useful work over each customer's max-min fair share of it.
+    """Return Jain's fairness index of the customers' useful work.
 
-    Customers ask for unequal amounts, so equal amounts are not what fairness gives.
+    Each customer's work is normalized by its max-min fair share, since customers have unequal
+    demands.
     """
     demands: dict[str, float] = defaultdict(float)
     received: dict[str, float] = defaultdict(float)
@@ -338,10 +344,11 @@
 
 
 def capacity_rate(scenario: Scenario) -> float:
-    """Return the requests a second that saturated engines complete, first come first served.
+    """Return the requests per second that saturated engines complete, first come first served.
 
-    The engines are swamped, and completions are counted once all are busy and while arrivals
-    last, so that neither the start nor the tail of the run counts.
+    The arrival rate exceeds the capacity by far.  Completions are counted only between 30% and 95%
+    of the arrivals, when all engines are busy, so that the start and the tail of the run have no
+    influence.
     """
     swamped = scenario._replace(
         policy=SharedPool(), rate=SWAMPED_RATE, count=SWAMPED_COUNT, admission=False, seed=99
--- a/siskinspoke/bench/report.py
+++ b/siskinspoke/bench/report.py
@@ -1,4 +1,4 @@
-"""Run the whole policy bench and write its report.
+"""Run the policy benchmark and write its report.
 
 Usage: python -m siskinspoke.bench.report [FOLDER]
 """
@@ -24,7 +24,7 @@
 
 
 class Job(NamedTuple):
-    """One row of the report."""
+    """The parameters of one row of the report."""
 
     mix: str
     policy: str
@@ -35,7 +35,7 @@
 
 
 class Row(NamedTuple):
-    """What one run measured; times in milliseconds, shares between 0 and 1."""
+    """The results of one run; times in milliseconds, shares between 0 and 1."""
 
     job: Job
     capacity: float
@@ -50,12 +50,12 @@
 
     @property
     def harm(self) -> float:
-        """Return the slowdown of shorts when longs share the fleet."""
+        """Return the slowdown of short prompts caused by long prompts on the same engines."""
         return self.short_p95 / self.short_p95_alone
 
 
 def scenario_of(job: Job) -> bench.Scenario:
-    """Return the scenario of a job, without its rate."""
+    """Return the scenario of a job, without policy, rate and count."""
     parameters = bench.EngineParameters(step_base_ms=job.step_base_ms)
     return bench.Scenario(
         MIXES[job.mix], slow_share=job.slow_share, engines=job.engines, parameters=parameters
@@ -63,7 +63,7 @@
 
 
 def capacity(job: Job) -> float:
-    """Return the capacity in requests a second that a job's load is a share of."""
+    """Return the capacity in requests per second, which a job's load is relative to."""
     return bench.capacity_rate(scenario_of(job)._replace(slow_share=0.0))
 
 
@@ -95,7 +95,7 @@
 
 
 def jobs() -> list[Job]:
-    """Return every row of the report."""
+    """Return the jobs for all rows of the report."""
     rows = [Job(mix, "product", load) for mix in MIXES for load in LOADS]
     rows += [Job(mix, policy, load) for mix in MIXES for policy in BASELINES for load in (0.8, 2.0)]
     rows += [Job(mix, policy, 0.8) for mix in MIXES for policy in ALTERNATIVES]
@@ -105,7 +105,7 @@
 
 
 def run_all() -> list[Row]:
-    """Run all jobs side by side."""
+    """Run all jobs in parallel."""
     todo = jobs()
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         keys = sorted({job._replace(policy="", load=0.0, slow_share=0.0) for job in todo})
@@ -139,7 +139,7 @@
 
 
 def main(folder: Path) -> None:
-    """Write the table, the raw rows and a chart."""
+    """Write the table, the raw rows and a chart for each mix."""
     folder.mkdir(parents=True, exist_ok=True)
     rows = run_all()
     (folder / "policy.md").write_text(table(rows) + "\n")
