--- a/siskinspoke/bench/crash_slopes.py
+++ b/siskinspoke/bench/crash_slopes.py
@@ -1,6 +1,8 @@
-"""Measure what it costs to remember servers' crashes: processor time, bytes and memory.
+"""Measure the cost of tracking server crashes: processor time, message sizes and memory.
 
-Run as ``python -m siskinspoke.bench.crash_slopes``; prints one line for each figure.
+Usage: python -m siskinspoke.bench.crash_slopes
+
+Prints one line for each figure.
 """
 
 import time
@@ -23,19 +25,19 @@
 
 
 class Silent:
-    """A log that nobody reads."""
+    """A decision log that discards all entries."""
 
     def note(self, event: str, **fields: Any) -> None:
-        """Leave a line out."""
+        """Discard a log entry."""
 
 
 def subject(number: int, size: int = 200) -> Subject:
-    """Return a request of its own, with a body of so many bytes."""
+    """Return a distinct request for each number, with a body of about ``size`` bytes."""
     return Subject("acme", "shop.example/stream/x", b"%d" % number + b"x" * size)
 
 
 def micros(act: Callable[[], Any], times: int = TIMES) -> float:
-    """Return the processor time of one call, in microseconds."""
+    """Return the mean processor time of one call, in microseconds."""
     began = time.process_time()
     for _ in range(times):
         act()
@@ -43,7 +45,10 @@
 
 
 def crashes(told: list[CrashNews], count: int) -> CrashWatch:
-    """Return a watch after so many crashes under requests that differ but for one of each eight."""
+    """Return a watch that has seen ``count`` crashes.
+
+    Of the eight requests open at each crash, one is the same at all crashes.
+    """
     watch = CrashWatch(told.append, Counters(), Silent())
     for number in range(count):
         start, at = (f"i-{number:010x}", 0), number * GAP_MS
@@ -56,10 +61,10 @@
 
 
 def main() -> None:
-    """Print the figures."""
+    """Measure and print all figures."""
     idle = CrashWatch(lambda news: None, Counters(), Silent())
     one = subject(0)
-    print(f"request, nothing suspected: {micros(lambda: idle.judge(subject(0), 0.0)):.1f} us")
+    print(f"check a request, no crashes: {micros(lambda: idle.judge(subject(0), 0.0)):.1f} us")
     for size in BODY_BYTES:
         cost = micros(lambda size=size: subject(0, size).fingerprint, 20)
         print(f"fingerprint of {size:,} bytes: {cost:.0f} us")
@@ -68,11 +73,11 @@
     watch = crashes(told, MOST_CRASHES)
     took = time.process_time() - began
     now = MOST_CRASHES * GAP_MS + 1_000.0
-    print(f"crash of {SUSPECTS} suspects, found and told: {took / MOST_CRASHES * 1e6:.0f} us")
-    print(f"news of one crash: {len(encode_message(told[-1]))} bytes")
+    print(f"detect and publish a crash, {SUSPECTS} suspects: {took / MOST_CRASHES * 1e6:.0f} us")
+    print(f"message about one crash: {len(encode_message(told[-1]))} bytes")
     report = told[-1].crashes[0]
     alone = told[-1]._replace(crashes=[report._replace(suspects=report.suspects[:1])])
-    print(f"news of one suspect: {len(encode_message(alone))} bytes")
+    print(f"message about a crash with one suspect: {len(encode_message(alone))} bytes")
     other = CrashWatch(lambda news: None, Counters(), Silent())
     tracemalloc.start()
     for news in told:
@@ -84,10 +89,10 @@
     for news in told:
         other.hear(news, now)
     took = time.process_time() - began
-    print(f"crash heard: {took / MOST_CRASHES * 1e6:.0f} us")
+    print(f"apply a received crash: {took / MOST_CRASHES * 1e6:.0f} us")
     sound = subject(-1, 201)
     print(
-        f"request of another shape, {MOST_CRASHES} crashes: "
+        f"check an unrelated request, {MOST_CRASHES} crashes known: "
         f"{micros(lambda: watch.judge(sound, now)):.1f} us"
     )
 
@@ -95,9 +100,9 @@
         watch.ledger._cases.clear()
         watch.judge(one, now)
 
-    print(f"verdict on one that was at all of them: {micros(judge_anew, 5):.0f} us")
+    print(f"check a request open at every crash, uncached: {micros(judge_anew, 5):.0f} us")
     snapshot = sum(len(encode_message(item)) for item in watch.all_news(now))
-    print(f"all that a newcomer is told: {snapshot:,} bytes")
+    print(f"messages sent to a new member: {snapshot:,} bytes")
 
 
 if __name__ == "__main__":
--- a/siskinspoke/bench/feed_slopes.py
+++ b/siskinspoke/bench/feed_slopes.py
@@ -1,4 +1,4 @@
-"""Measure what a follower and an announcement cost a registry, as a process on this machine.
+"""Measure the processor time that feed followers and announcements cost a registry process.
 
 Usage: python -m siskinspoke.bench.feed_slopes
 """
@@ -23,13 +23,13 @@
 
 
 def processor_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 async def follow(site: GroupSite, number: int, log: DecisionLog) -> None:
-    """Be one follower of the registry."""
+    """Run one follower of the registry's feed."""
     listener = Listener(
         on_publication=lambda version, document: None,
         on_news=lambda announcements: None,
@@ -43,7 +43,7 @@
 
 
 async def announce(site: GroupSite, a_second: int) -> None:
-    """Send announcements of a few servers at a rate."""
+    """Send ``a_second`` announcements per second, for ``SERVERS`` servers in turn."""
     url = f"http://{site.host_of('c1')}:{OPERATORS_PORT}/instances/i-%d/heartbeat"
     seq = time.time_ns()
     async with httpx.AsyncClient(trust_env=False) as client:
@@ -57,7 +57,7 @@
 
 
 async def measure(site: GroupSite, followers: int, announcements: int, log: DecisionLog) -> float:
-    """Return the share of a core that the registry uses at one point."""
+    """Return the fraction of a core that the registry uses at one load."""
     pid = site.pid("c1")
     async with trio.open_nursery() as nursery:
         for number in range(followers):
@@ -73,7 +73,7 @@
 
 
 async def main() -> None:
-    """Print every point."""
+    """Measure and print all points."""
     site = GroupSite(Path(tempfile.mkdtemp(prefix="feed-slopes-")), FEED_SLOPES)
     site.seeds = [site.host_of("c1")]
     with open(os.devnull, "w") as nowhere:
@@ -83,7 +83,7 @@
             await trio.sleep(SETTLE_SECONDS)
             for followers, announcements in POINTS:
                 share = await measure(site, followers, announcements, log)
-                print(f"{followers} followers, {announcements} a second: {share:.3f} of a core")
+                print(f"{followers} followers, {announcements} announcements/s: {share:.3f} cores")
         finally:
             site.close()
 
--- a/siskinspoke/bench/slopes.py
+++ b/siskinspoke/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measure what each role costs per message, at several sizes, on real processes.
+"""Measure the cost per message of each role at several rates, on real processes.
 
 Usage: python -m siskinspoke.bench.slopes [FILE]
 
-The points and the slopes go to FILE as JSON; docs/CAPACITY.md is worked out from them.
+Writes the points and the fitted slopes to FILE as JSON; docs/CAPACITY.md is based on them.
 """
 
 import os
@@ -38,7 +38,7 @@
 
 
 class Point(NamedTuple):
-    """One measured point: how much of what, and what it cost."""
+    """One measurement: the amount of load, usually a rate, and the resources used."""
 
     amount: float
     cpu_seconds: float
@@ -48,13 +48,13 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process so far."""
+    """Return the processor time used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def memory_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -62,14 +62,14 @@
 
 
 def slope(points: list[Point], field: str = "cpu_seconds") -> float:
-    """Return the cost of one more, by least squares."""
+    """Return the marginal cost of one unit of load, by least squares."""
     amounts = [point.amount for point in points]
     costs = [getattr(point, field) for point in points]
     return float(np.polyfit(amounts, costs, 1)[0])
 
 
 def announcement(number: int, seq: int, domain: str) -> Announcement:
-    """Return an announcement of a made-up engine."""
+    """Return an announcement of a fictitious engine."""
     queued = [0, 1_200, 0, 5_000, 0, 0, 90_000] + [0] * 9
     name = f"engine-{number:04}"
     return Announcement(
@@ -79,7 +79,7 @@
 
 
 def large_site(folder: Path) -> Fleet:
-    """Return a fleet whose settings are as large as the target; few of its VMs run."""
+    """Return a fleet with settings of the target size, of whose VMs only a few are started."""
     net = networks().bench[0]
     many = [
         {
@@ -98,7 +98,7 @@
 
 
 async def send_datagrams(fleet: Fleet, entry, rate: float, seconds: float, whole: bool) -> None:
-    """Send announcements or loads to one entry VM at a steady rate."""
+    """Send announcements or load reports to one entry VM at a constant rate."""
     port = await open_datagram_port("127.0.0.1", 0, fleet.settings.internal_key, Counters())
     began = trio.current_time()
     servers = 100
@@ -112,7 +112,7 @@
 
 
 def measure_announcements(fleet: Fleet, name: str, whole: bool) -> list[Point]:
-    """Measure an entry VM that hears loads, or announcements that it spreads."""
+    """Measure an entry VM that receives load reports, or announcements that it forwards."""
     entry = fleet.settings.entry(name)
     points = []
     for rate in (0, 1, 2, 4, 8) if whole else (0, 10, 20, 40, 80):
@@ -135,7 +135,7 @@
 
 
 def measure_polls(fleet: Fleet, control_name: str) -> list[Point]:
-    """Measure a control replica that entry VMs ask for newer configuration."""
+    """Measure a control replica that entry VMs poll for newer configuration."""
     control = fleet.settings.control_vm(control_name)
 
     async def poll(rate: float) -> None:
@@ -156,7 +156,7 @@
 
 
 class ClaimRun(NamedTuple):
-    """What claims at one rate cost; latencies in milliseconds."""
+    """The cost of claims at one rate; latencies in milliseconds."""
 
     leader: Point
     follower: Point
@@ -165,7 +165,7 @@
 
 
 def measure_claims(fleet: Fleet) -> list[ClaimRun]:
-    """Measure leader and follower under claims, each settled, and their latency."""
+    """Measure leader, follower and claim latency at several rates of claims, each then settled."""
     leader = fleet.wait_leader()
     follower = next(c.name for c in fleet.settings.controls if c.name != leader)
     key, target = fleet.settings.internal_key, Target("s", 1, "127.0.0.1", 9)
@@ -204,7 +204,7 @@
 
 
 def measure_requests(site, output: int) -> list[Point]:
-    """Measure an entry VM that serves completions of a given output length."""
+    """Measure an entry VM that serves completions with a given number of output tokens."""
     name = "entry-sala-a-1"
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
 
@@ -226,7 +226,7 @@
 
 
 def measure_added(site) -> dict[str, float]:
-    """Measure the time to first byte that the entry VM adds, one request at a time."""
+    """Measure the latency that an entry VM adds to the first byte, with sequential requests."""
     spec = site.specs["engine-sala-a-1"]
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
     through, direct = [], []
@@ -256,7 +256,7 @@
 
 
 def measure_streams(site) -> list[Point]:
-    """Measure an entry VM's memory with many open streams."""
+    """Measure the memory of an entry VM with many open streams."""
     name = "entry-sala-b-1"
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
     points = [Point(0, 0.0, memory_mb(site.fleet.pid(name)))]
@@ -280,7 +280,7 @@
 
 
 def measure_changes(site) -> dict[str, float]:
-    """Measure the time from a change's sending to its being in force at every entry VM."""
+    """Measure the time from submitting a configuration until all entry VMs have it in force."""
     times = []
     with Operator(site.fleet.settings) as operator:
         document = dict(site.fleet.settings.configuration_document)
@@ -305,7 +305,7 @@
 
 
 def measure_leader_deaths(site) -> dict[str, float]:
-    """Measure how long claims wait after the leader is killed."""
+    """Measure how long a claim waits after the leader is killed."""
     waits = []
     for number in range(8):
         leader = site.fleet.wait_leader()
@@ -331,7 +331,7 @@
 
 
 def idle_costs(fleet: Fleet, names: list[str]) -> dict[str, Point]:
-    """Measure processes that have nothing to do but their control traffic."""
+    """Measure processes that handle only control traffic."""
     began = {name: cpu_seconds(fleet.pid(name)) for name in names}
     time.sleep(WINDOW_SECONDS * 2)
     return {
@@ -344,7 +344,7 @@
 
 
 def at_target_size(folder: Path) -> dict:
-    """Measure an entry VM and replicas with settings as large as the target."""
+    """Measure an entry VM and control replicas with settings of the target size."""
     with large_site(folder) as fleet:
         for control in fleet.settings.controls:
             fleet.start_control(control.name)
@@ -378,7 +378,7 @@
 
 
 def at_small_site(stack: ExitStack, folder: Path) -> dict:
-    """Measure the data path, changes and leader deaths at a running small site."""
+    """Measure the data path, configuration changes and leader failures at a small site."""
     site = start_running_site(
         stack, folder, networks().bench[1], entries_per_domain=2,
         engine_flags=("--memory_tokens=4000000",),
@@ -402,7 +402,7 @@
 
 
 def main(path: Path) -> None:
-    """Measure everything and write it down."""
+    """Run all measurements, and write and print the results."""
     with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
         folder = Path(name)
         small = at_small_site(stack, folder / "small")
