--- a/siskinspoke/bench/crash_slopes.py
+++ b/siskinspoke/bench/crash_slopes.py
@@ -17,14 +17,14 @@
 from siskinspoke.protocol import encode_message
 from siskinspoke.protocol.crashes import CrashNews
 
-SUSPECTS = 8
-SERVERS = 870
-GAP_MS = 200.0
+SUSPECTS_PER_CRASH = 8
+SERVER_COUNT = 870
+CRASH_INTERVAL_MS = 200.0
 BODY_BYTES = (20_000, 4_000_000)
-TIMES = 1_000
+REPETITIONS = 1_000
 
 
-class Silent:
+class NullLog:
     """A decision log that discards all entries."""
 
     def note(self, event: str, **fields: Any) -> None:
@@ -36,71 +36,80 @@
     return Subject("acme", "shop.example/stream/x", b"%d" % number + b"x" * size)
 
 
-def micros(act: Callable[[], Any], times: int = TIMES) -> float:
+def cpu_microseconds(operation: Callable[[], Any], repetitions: int = REPETITIONS) -> float:
     """Return the mean processor time of one call, in microseconds."""
     began = time.process_time()
-    for _ in range(times):
-        act()
-    return (time.process_time() - began) / times * 1e6
+    for _ in range(repetitions):
+        operation()
+    return (time.process_time() - began) / repetitions * 1e6
 
 
-def crashes(told: list[CrashNews], count: int) -> CrashWatch:
+def watch_after_crashes(published: list[CrashNews], count: int) -> CrashWatch:
     """Return a watch that has seen ``count`` crashes.
 
     Of the eight requests open at each crash, one is the same at all crashes.
     """
-    watch = CrashWatch(told.append, Counters(), Silent())
+    watch = CrashWatch(published.append, Counters(), NullLog())
     for number in range(count):
-        start, at = (f"i-{number:010x}", 0), number * GAP_MS
-        bodies = [0, *range(number * SUSPECTS + 1, (number + 1) * SUSPECTS)]
+        start, at = (f"i-{number:010x}", 0), number * CRASH_INTERVAL_MS
+        bodies = [0, *range(number * SUSPECTS_PER_CRASH + 1, (number + 1) * SUSPECTS_PER_CRASH)]
         for body in bodies:
             watch.began(subject(body), [start], at - 100.0)
-        watch.crashed(start, "m", SERVERS, at, at)
+        watch.crashed(start, "m", SERVER_COUNT, at, at)
         watch._open.clear()
     return watch
 
 
 def main() -> None:
     """Measure and print all figures."""
-    idle = CrashWatch(lambda news: None, Counters(), Silent())
-    one = subject(0)
-    print(f"check a request, no crashes: {micros(lambda: idle.judge(subject(0), 0.0)):.1f} us")
+    idle = CrashWatch(lambda news: None, Counters(), NullLog())
+    recurring = subject(0)
+    print(
+        "check a request, no crashes: "
+        f"{cpu_microseconds(lambda: idle.judge(subject(0), 0.0)):.1f} us"
+    )
     for size in BODY_BYTES:
-        cost = micros(lambda size=size: subject(0, size).fingerprint, 20)
+        cost = cpu_microseconds(lambda size=size: subject(0, size).fingerprint, 20)
         print(f"fingerprint of {size:,} bytes: {cost:.0f} us")
-    told: list[CrashNews] = []
+    published: list[CrashNews] = []
     began = time.process_time()
-    watch = crashes(told, MOST_CRASHES)
-    took = time.process_time() - began
-    now = MOST_CRASHES * GAP_MS + 1_000.0
-    print(f"detect and publish a crash, {SUSPECTS} suspects: {took / MOST_CRASHES * 1e6:.0f} us")
-    print(f"message about one crash: {len(encode_message(told[-1]))} bytes")
-    report = told[-1].crashes[0]
-    alone = told[-1]._replace(crashes=[report._replace(suspects=report.suspects[:1])])
-    print(f"message about a crash with one suspect: {len(encode_message(alone))} bytes")
-    other = CrashWatch(lambda news: None, Counters(), Silent())
+    watch = watch_after_crashes(published, MOST_CRASHES)
+    cpu_seconds = time.process_time() - began
+    now = MOST_CRASHES * CRASH_INTERVAL_MS + 1_000.0
+    print(
+        f"detect and publish a crash, {SUSPECTS_PER_CRASH} suspects: "
+        f"{cpu_seconds / MOST_CRASHES * 1e6:.0f} us"
+    )
+    print(f"message about one crash: {len(encode_message(published[-1]))} bytes")
+    report = published[-1].crashes[0]
+    single = published[-1]._replace(crashes=[report._replace(suspects=report.suspects[:1])])
+    print(f"message about a crash with one suspect: {len(encode_message(single))} bytes")
+    other = CrashWatch(lambda news: None, Counters(), NullLog())
     tracemalloc.start()
-    for news in told:
+    for news in published:
         other.hear(news, now)
     print(f"memory of {MOST_CRASHES} crashes: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB")
     tracemalloc.stop()
-    other = CrashWatch(lambda news: None, Counters(), Silent())
+    other = CrashWatch(lambda news: None, Counters(), NullLog())
     began = time.process_time()
-    for news in told:
+    for news in published:
         other.hear(news, now)
-    took = time.process_time() - began
-    print(f"apply a received crash: {took / MOST_CRASHES * 1e6:.0f} us")
-    sound = subject(-1, 201)
+    cpu_seconds = time.process_time() - began
+    print(f"apply a received crash: {cpu_seconds / MOST_CRASHES * 1e6:.0f} us")
+    unrelated = subject(-1, 201)
     print(
         f"check an unrelated request, {MOST_CRASHES} crashes known: "
-        f"{micros(lambda: watch.judge(sound, now)):.1f} us"
+        f"{cpu_microseconds(lambda: watch.judge(unrelated, now)):.1f} us"
     )
 
-    def judge_anew() -> None:
+    def judge_uncached() -> None:
         watch.ledger._cases.clear()
-        watch.judge(one, now)
+        watch.judge(recurring, now)
 
-    print(f"check a request open at every crash, uncached: {micros(judge_anew, 5):.0f} us")
+    print(
+        "check a request open at every crash, uncached: "
+        f"{cpu_microseconds(judge_uncached, 5):.0f} us"
+    )
     snapshot = sum(len(encode_message(item)) for item in watch.all_news(now))
     print(f"messages sent to a new member: {snapshot:,} bytes")
 
--- a/siskinspoke/bench/feed_slopes.py
+++ b/siskinspoke/bench/feed_slopes.py
@@ -17,12 +17,12 @@
 from siskinspoke.testing.group_site import INTERNAL_PORTS, OPERATORS_PORT, GroupSite
 from siskinspoke.testing.networks import FEED_SLOPES
 
-SERVERS = 50
+SERVER_COUNT = 50
 SETTLE_SECONDS, MEASURE_SECONDS = 3.0, 6.0
 POINTS = ((0, 0), (50, 0), (100, 0), (0, 40), (100, 40))
 
 
-def processor_seconds(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Return the processor time used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -42,18 +42,18 @@
     await FeedSet(me, (host,), INTERNAL_PORTS[0] + 1, b"test", listener, Counters(), log).run()
 
 
-async def announce(site: GroupSite, a_second: int) -> None:
+async def announce(site: GroupSite, rate: int) -> None:
     """Send ``a_second`` announcements per second, for ``SERVERS`` servers in turn."""
     url = f"http://{site.host_of('c1')}:{OPERATORS_PORT}/instances/i-%d/heartbeat"
     seq = time.time_ns()
     async with httpx.AsyncClient(trust_env=False) as client:
         while True:
             seq += 1
-            number = seq % SERVERS
+            number = seq % SERVER_COUNT
             address = f"10.0.0.{number}:1"
             body = {"service": "s", "address": address, "zone": "a", "seq": seq}
             await client.post(url % number, json=body)
-            await trio.sleep(1 / a_second)
+            await trio.sleep(1 / rate)
 
 
 async def measure(site: GroupSite, followers: int, announcements: int, log: DecisionLog) -> float:
@@ -65,9 +65,9 @@
         if announcements:
             nursery.start_soon(announce, site, announcements)
         await trio.sleep(SETTLE_SECONDS)
-        used, began = processor_seconds(pid), time.monotonic()
+        used, began = cpu_seconds(pid), time.monotonic()
         await trio.sleep(MEASURE_SECONDS)
-        share = (processor_seconds(pid) - used) / (time.monotonic() - began)
+        share = (cpu_seconds(pid) - used) / (time.monotonic() - began)
         nursery.cancel_scope.cancel()
     return share
 
@@ -76,8 +76,8 @@
     """Measure and print all points."""
     site = GroupSite(Path(tempfile.mkdtemp(prefix="feed-slopes-")), FEED_SLOPES)
     site.seeds = [site.host_of("c1")]
-    with open(os.devnull, "w") as nowhere:
-        log = DecisionLog("bench", nowhere)
+    with open(os.devnull, "w") as devnull:
+        log = DecisionLog("bench", devnull)
         try:
             site.start("c1", found=True)
             await trio.sleep(SETTLE_SECONDS)
--- a/siskinspoke/bench/policies.py
+++ b/siskinspoke/bench/policies.py
@@ -11,7 +11,7 @@
 from siskinspoke.coordination.routing import RANKS, Choice, Router, Work
 from siskinspoke.core.codes import Failure, ResultCode
 
-LONG_LANE_SHARE = 0.4
+LONG_PROMPT_SERVER_SHARE = 0.4
 
 
 @dataclass(frozen=True)
@@ -83,7 +83,7 @@
     def __init__(self, directory: Directory, policy: Policy, seed: int):
         super().__init__(directory, PrefixIndex(), "bench")
         self._policy = policy
-        self._turns = itertools.count(seed)
+        self._counter = itertools.count(seed)
         self._long_work = 1.0
         self._all_work = 2.0
 
@@ -105,45 +105,61 @@
             case Product():
                 return super().choose(work, now, rng)
             case RandomChoice():
-                return self._take(rng.choice(serving), work)
+                return self._choice_of(rng.choice(serving), work)
             case RoundRobin():
                 ordered = sorted(serving, key=lambda record: record.announcement.server)
-                return self._take(ordered[next(self._turns) % len(ordered)], work)
+                return self._choice_of(ordered[next(self._counter) % len(ordered)], work)
             case LeastRequests():
-                return self._least(serving, work, rng, self._requests)
+                return self._cheapest(serving, work, rng, self._request_count)
             case LeastTokens():
                 last = RANKS - 1
-                return self._least(serving, work, rng, lambda r: self._tokens_ahead(r, last, now))
+                return self._cheapest(
+                    serving, work, rng, lambda r: self._tokens_ahead(r, last, now)
+                )
             case SharedPool():
-                return self._least(serving, work, rng, lambda r: self._unranked(r, work, now))
+                return self._cheapest(
+                    serving, work, rng, lambda r: self._estimate_without_priorities_ms(r, work, now)
+                )
             case FixedIntervals():
-                lane = self._lane(serving, work, LONG_LANE_SHARE)
-                return self._least(lane, work, rng, lambda r: self._unranked(r, work, now))
+                candidates = self._servers_for_length(serving, work, LONG_PROMPT_SERVER_SHARE)
+                return self._cheapest(
+                    candidates,
+                    work,
+                    rng,
+                    lambda r: self._estimate_without_priorities_ms(r, work, now),
+                )
             case MovingIntervals():
-                lane = self._lane(serving, work, self._observed_share(work))
-                return self._least(lane, work, rng, lambda r: self._unranked(r, work, now))
-
-    def _take(self, record: ServerRecord, work: Work) -> Result[Choice, Failure]:
+                candidates = self._servers_for_length(serving, work, self._recent_long_share(work))
+                return self._cheapest(
+                    candidates,
+                    work,
+                    rng,
+                    lambda r: self._estimate_without_priorities_ms(r, work, now),
+                )
+
+    def _choice_of(self, record: ServerRecord, work: Work) -> Result[Choice, Failure]:
         return Ok(Choice((record,), 0.0, self.uncached_tokens(record, work)))
 
-    def _least(self, records, work, rng, cost) -> Result[Choice, Failure]:
+    def _cheapest(self, records, work, rng, cost) -> Result[Choice, Failure]:
         costs = [(cost(record), rng.random(), record) for record in records]
-        return self._take(min(costs, key=lambda item: item[:2])[2], work)
+        return self._choice_of(min(costs, key=lambda item: item[:2])[2], work)
 
-    def _requests(self, record: ServerRecord) -> float:
+    def _request_count(self, record: ServerRecord) -> float:
         return record.announcement.running + sum(1 for _ in self._unreported(record))
 
-    def _unranked(self, record: ServerRecord, work: Work, now: float) -> float:
+    def _estimate_without_priorities_ms(
+        self, record: ServerRecord, work: Work, now: float
+    ) -> float:
         return self.estimate_ms(record, work._replace(priority=RANKS), now)
 
-    def _observed_share(self, work: Work) -> float:
+    def _recent_long_share(self, work: Work) -> float:
         """Return the share of long prompts in recent work, exponentially weighted."""
         self._all_work = self._all_work * 0.995 + work.prompt_tokens
         long_work = work.prompt_tokens if work.length_class == 2 else 0
         self._long_work = self._long_work * 0.995 + long_work
         return min(0.9, max(0.1, self._long_work / self._all_work))
 
-    def _lane(self, serving, work: Work, share: float) -> list[ServerRecord]:
+    def _servers_for_length(self, serving, work: Work, share: float) -> list[ServerRecord]:
         ordered = sorted(serving, key=lambda record: record.announcement.server)
         count = max(1, min(len(ordered) - 1, round(len(ordered) * share)))
         return ordered[:count] if work.length_class == 2 else ordered[count:]
--- a/siskinspoke/bench/policy_bench.py
+++ b/siskinspoke/bench/policy_bench.py
@@ -23,13 +23,13 @@
 from siskinspoke.standins.engine_model import Attempt, AttemptKey, EngineModel, EngineParameters
 
 SHORT_TOKENS, LONG_TOKENS = 8_000, 100_000
-REPORT_MS = 500.0
+REPORT_INTERVAL_MS = 500.0
 LEASE_MS = 10_000.0
 BASE_TIMEOUT_MS = 10_000.0
 TIMEOUT_FACTOR = 8.0
-LONGEST_PROMPT = 350_000
-SWAMPED_RATE = 130.0
-SWAMPED_COUNT = 8_000
+MAX_PROMPT_TOKENS = 350_000
+SATURATING_RATE = 130.0
+SATURATING_COUNT = 8_000
 
 
 class Scenario(NamedTuple):
@@ -67,7 +67,7 @@
         return self.total_ms is not None and self.total_ms <= self.timeout_ms
 
 
-class _Running(NamedTuple):
+class _RunningAttempt(NamedTuple):
     arrival: Arrival
     entry: int
     ticket: Ticket
@@ -88,7 +88,9 @@
         self._count = 0
         slow = round(scenario.engines * scenario.slow_share)
         self._engines = [EngineModel(scenario.parameters) for _ in range(scenario.engines)]
-        self._factors = [2.0 if index < slow else 1.0 for index in range(scenario.engines)]
+        self._step_time_factors = [
+            2.0 if index < slow else 1.0 for index in range(scenario.engines)
+        ]
         self._idle = [True] * scenario.engines
         self._seq = [0] * scenario.engines
         self._routers = [
@@ -96,36 +98,39 @@
             for index in range(scenario.entries)
         ]
         self._shares = [FairShares(10_000) for _ in range(scenario.entries)]
-        self._running: dict[AttemptKey, _Running] = {}
-        self._first: dict[AttemptKey, float] = {}
+        self._running: dict[AttemptKey, _RunningAttempt] = {}
+        self._first_token_at: dict[AttemptKey, float] = {}
         self._weights = dict.fromkeys(scenario.mix.customers, 1.0)
 
     def run(self) -> list[Result]:
         """Run until all requests have ended and return their results."""
         scenario = self.scenario
         for index in range(scenario.engines):
-            self._at(index * REPORT_MS / scenario.engines, lambda index=index: self._report(index))
+            self._schedule(
+                index * REPORT_INTERVAL_MS / scenario.engines,
+                lambda index=index: self._send_report(index),
+            )
         for arrival in arrivals(scenario.mix, scenario.rate, scenario.count, scenario.seed):
-            tokens = min(arrival.prompt_tokens, LONGEST_PROMPT)
+            tokens = min(arrival.prompt_tokens, MAX_PROMPT_TOKENS)
             if scenario.without_longs and tokens >= LONG_TOKENS:
                 continue
             item = arrival._replace(prompt_tokens=tokens)
-            self._at(1_000 + arrival.at * 1000, lambda item=item: self._arrive(item))
+            self._schedule(1_000 + arrival.at * 1000, lambda item=item: self._arrive(item))
         last = 1_000 + arrival.at * 1000
         while self._events and (self.now < last or self._running):
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         return self.results
 
-    def _at(self, when: float, act: Callable[[], None]) -> None:
+    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._events, (when, self._count, act))
+        heapq.heappush(self._events, (when, self._count, callback))
 
-    def _report(self, index: int) -> None:
+    def _send_report(self, index: int) -> None:
         """Send the state of an engine to every router, with the reporting delay."""
         engine = self._engines[index]
         self._seq[index] += 1
-        said = Announcement(
+        announcement = Announcement(
             f"engine-{index:03}",
             1,
             self._seq[index],
@@ -143,12 +148,14 @@
             engine.parameters.prefill_rate,
             engine.accepted,
         )
-        self._at(self.now + self.scenario.report_lag_ms, lambda: self._hear(said))
-        self._at(self.now + REPORT_MS, lambda: self._report(index))
+        self._schedule(
+            self.now + self.scenario.report_lag_ms, lambda: self._deliver_report(announcement)
+        )
+        self._schedule(self.now + REPORT_INTERVAL_MS, lambda: self._send_report(index))
 
-    def _hear(self, said: Announcement) -> None:
+    def _deliver_report(self, announcement: Announcement) -> None:
         for router in self._routers:
-            router.directory.hear(said, self.now)
+            router.directory.hear(announcement, self.now)
 
     def _arrive(self, arrival: Arrival) -> None:
         entry = arrival.number % self.scenario.entries
@@ -166,14 +173,14 @@
             timeout if self.scenario.admission else 1e12,
         )
         chosen = router.choose(work, self.now, self._rng)
-        if chosen.is_error() or not self._fair(entry, arrival, chosen.ok, timeout):
+        if chosen.is_error() or not self._admits(entry, arrival, chosen.ok, timeout):
             self.results.append(Result(arrival, kind, ideal, None, None, timeout, True))
             return
         record = chosen.ok.servers[0]
         index = int(record.announcement.server[-3:])
         ticket = router.dispatched(record, work, chosen.ok.uncached_tokens, self.now)
         key = AttemptKey(str(arrival.number), 1)
-        self._running[key] = _Running(arrival, entry, ticket, self.now, ideal, timeout)
+        self._running[key] = _RunningAttempt(arrival, entry, ticket, self.now, ideal, timeout)
         attempt = Attempt(
             key,
             arrival.prompt_tokens,
@@ -186,9 +193,9 @@
         engine.start(attempt, self.now)
         router.accepted(ticket, engine.accepted)
         if self._idle[index]:
-            self._step(index)
+            self._begin_step(index)
 
-    def _fair(self, entry: int, arrival: Arrival, choice, timeout: float) -> bool:
+    def _admits(self, entry: int, arrival: Arrival, choice, timeout: float) -> bool:
         """Return whether the product's fair-share admission accepts a request."""
         if not (self.scenario.admission and isinstance(self.scenario.policy, Product)):
             return True
@@ -206,10 +213,12 @@
         The first blocks are shared by prompts with equal customer and template.
         """
         total = arrival.prompt_tokens // BLOCK_TOKENS
-        shared = int(total * self.scenario.mix.shared)
-        head = xxhash.xxh32_intdigest(f"{arrival.customer}/{arrival.template}".encode())
-        own = (arrival.number + 1) << 40
-        return [(head << 16) + n for n in range(shared)] + [own + n for n in range(total - shared)]
+        shared_count = int(total * self.scenario.mix.shared)
+        prefix_hash = xxhash.xxh32_intdigest(f"{arrival.customer}/{arrival.template}".encode())
+        suffix_base = (arrival.number + 1) << 40
+        return [(prefix_hash << 16) + n for n in range(shared_count)] + [
+            suffix_base + n for n in range(total - shared_count)
+        ]
 
     def _ideal_ms(self, arrival: Arrival) -> float:
         """Return the time to first token on an idle engine with an empty cache."""
@@ -220,32 +229,34 @@
             + arrival.prompt_tokens * parameters.prefill_ms_per_token
         )
 
-    def _step(self, index: int) -> None:
+    def _begin_step(self, index: int) -> None:
         engine = self._engines[index]
         plan = engine.begin_step(self.now)
         self._idle[index] = plan is None
         if plan is not None:
-            duration = plan.duration_ms * self._factors[index]
-            self._at(self.now + duration, lambda: self._finish(index, plan))
+            duration = plan.duration_ms * self._step_time_factors[index]
+            self._schedule(self.now + duration, lambda: self._finish_step(index, plan))
 
-    def _finish(self, index: int, plan) -> None:
+    def _finish_step(self, index: int, plan) -> None:
         for attempt in self._engines[index].finish_step(plan, self.now):
             running = self._running.get(attempt.key)
             if running is None:
                 continue
             router = self._routers[running.entry]
-            if attempt.key not in self._first:
-                self._first[attempt.key] = self.now
+            if attempt.key not in self._first_token_at:
+                self._first_token_at[attempt.key] = self.now
                 router.first_token(running.ticket, self.now)
             if not attempt.active:
-                self._end(attempt, running, router)
-        self._step(index)
+                self._finish_attempt(attempt, running, router)
+        self._begin_step(index)
 
-    def _end(self, attempt: Attempt, running: _Running, router: PolicyRouter) -> None:
+    def _finish_attempt(
+        self, attempt: Attempt, running: _RunningAttempt, router: PolicyRouter
+    ) -> None:
         del self._running[attempt.key]
         router.ended(running.ticket)
         router.prefixes.stored(running.ticket.server, attempt.blocks)
-        first = self._first.pop(attempt.key)
+        first = self._first_token_at.pop(attempt.key)
         if running.arrival.max_tokens > 1:
             router.learn_token_ms("model", (self.now - first) / (running.arrival.max_tokens - 1))
         self.results.append(
@@ -314,15 +325,15 @@
 def max_min_shares(demands: dict[str, float], capacity: float) -> dict[str, float]:
     """Return the max-min fair allocation of a capacity among customers with given demands."""
     shares: dict[str, float] = {}
-    left = dict(demands)
-    while left:
-        level = capacity / len(left)
-        satisfied = {name: demand for name, demand in left.items() if demand <= level}
+    remaining = dict(demands)
+    while remaining:
+        level = capacity / len(remaining)
+        satisfied = {name: demand for name, demand in remaining.items() if demand <= level}
         if not satisfied:
-            return shares | dict.fromkeys(left, level)
+            return shares | dict.fromkeys(remaining, level)
         shares |= satisfied
         capacity -= sum(satisfied.values())
-        left = {name: demand for name, demand in left.items() if name not in satisfied}
+        remaining = {name: demand for name, demand in remaining.items() if name not in satisfied}
     return shares
 
 
@@ -350,11 +361,11 @@
     of the arrivals, when all engines are busy, so that the start and the tail of the run have no
     influence.
     """
-    swamped = scenario._replace(
-        policy=SharedPool(), rate=SWAMPED_RATE, count=SWAMPED_COUNT, admission=False, seed=99
+    saturated = scenario._replace(
+        policy=SharedPool(), rate=SATURATING_RATE, count=SATURATING_COUNT, admission=False, seed=99
     )
-    results = PolicyBench(swamped).run()
-    end = SWAMPED_COUNT / SWAMPED_RATE * 1000
+    results = PolicyBench(saturated).run()
+    end = SATURATING_COUNT / SATURATING_RATE * 1000
     began, ended = end * 0.3, end * 0.95
     done = sum(work_of(r) for r in results if began <= r.arrival.at * 1000 + r.total_ms < ended)
     mean = sum(work_of(r) for r in results) / len(results)
--- a/siskinspoke/bench/report.py
+++ b/siskinspoke/bench/report.py
@@ -49,7 +49,7 @@
     fairness: float
 
     @property
-    def harm(self) -> float:
+    def slowdown(self) -> float:
         """Return the slowdown of short prompts caused by long prompts on the same engines."""
         return self.short_p95 / self.short_p95_alone
 
@@ -106,15 +106,15 @@
 
 def run_all() -> list[Row]:
     """Run all jobs in parallel."""
-    todo = jobs()
+    pending = jobs()
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
-        keys = sorted({job._replace(policy="", load=0.0, slow_share=0.0) for job in todo})
+        keys = sorted({job._replace(policy="", load=0.0, slow_share=0.0) for job in pending})
         capacities = dict(zip(keys, pool.map(capacity, keys), strict=True))
-        rates = [capacities[job._replace(policy="", load=0.0, slow_share=0.0)] for job in todo]
-        return list(pool.map(measure, todo, rates))
+        rates = [capacities[job._replace(policy="", load=0.0, slow_share=0.0)] for job in pending]
+        return list(pool.map(measure, pending, rates))
 
 
-def _triple(values: tuple[float, ...]) -> str:
+def _format_triple(values: tuple[float, ...]) -> str:
     return " / ".join(f"{value:.2f}" for value in values)
 
 
@@ -131,9 +131,10 @@
         name = job.policy if job.engines == 20 else f"{job.policy}, 10 engines, 12 ms steps"
         lines.append(
             f"| {job.mix} | {name} | {job.load:.0%} | {job.slow_share:.0%} "
-            f"| {row.short_p95:.0f} | {row.short_p95_alone:.0f} | {row.harm:.2f} "
-            f"| {_triple(row.stretch_median)} | {_triple(row.stretch_p95)} "
-            f"| {_triple(row.on_time)} | {row.useful:.2f} | {row.late} | {row.fairness:.3f} |"
+            f"| {row.short_p95:.0f} | {row.short_p95_alone:.0f} | {row.slowdown:.2f} "
+            f"| {_format_triple(row.stretch_median)} | {_format_triple(row.stretch_p95)} "
+            f"| {_format_triple(row.on_time)} "
+            f"| {row.useful:.2f} | {row.late} | {row.fairness:.3f} |"
         )
     return "\n".join(lines)
 
@@ -147,7 +148,7 @@
     (folder / "policy.json").write_bytes(msgspec.json.format(raw, indent=1))
     for mix in MIXES:
         at_80 = [r for r in rows if r.job.mix == mix and r.job.load == 0.8 and r.job.engines == 20]
-        bars = {r.job.policy: r.harm for r in at_80 if not r.job.slow_share}
+        bars = {r.job.policy: r.slowdown for r in at_80 if not r.job.slow_share}
         title = f"{mix}: slowdown of short prompts when longs share the fleet, 80% load"
         (folder / f"harm-{mix}.svg").write_text(bar_chart(title, bars))
     print(table(rows))
--- a/siskinspoke/bench/slopes.py
+++ b/siskinspoke/bench/slopes.py
@@ -30,7 +30,7 @@
 from siskinspoke.testing.site import DOMAINS, customer, customer_key, write_site
 from siskinspoke.transport.datagrams import open_datagram_port
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 TARGET_ENTRIES = 420
 TARGET_CUSTOMERS = 2_600
 WINDOW_SECONDS = 6.0
@@ -50,7 +50,7 @@
 def cpu_seconds(pid: int) -> float:
     """Return the processor time used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
@@ -97,39 +97,47 @@
     return Fleet(folder, files.base, files.overlay)
 
 
-async def send_datagrams(fleet: Fleet, entry, rate: float, seconds: float, whole: bool) -> None:
+async def send_datagrams(
+    fleet: Fleet, entry, rate: float, seconds: float, full_announcements: bool
+) -> None:
     """Send announcements or load reports to one entry VM at a constant rate."""
     port = await open_datagram_port("127.0.0.1", 0, fleet.settings.internal_key, Counters())
     began = trio.current_time()
     servers = 100
     for sent in range(int(rate * seconds)):
         item = announcement(sent % servers, 10 + sent // servers, entry.failure_domain)
-        message = item if whole else load_of(item, 0)
-        if not whole and sent < servers:
+        message = item if full_announcements else load_of(item, 0)
+        if not full_announcements and sent < servers:
             message = Spread(item)
         await port.send(message, entry.host, entry.internal_port)
         await trio.sleep_until(began + (sent + 1) / rate)
 
 
-def measure_announcements(fleet: Fleet, name: str, whole: bool) -> list[Point]:
+def measure_announcements(fleet: Fleet, name: str, full_announcements: bool) -> list[Point]:
     """Measure an entry VM that receives load reports, or announcements that it forwards."""
     entry = fleet.settings.entry(name)
     points = []
-    for rate in (0, 1, 2, 4, 8) if whole else (0, 10, 20, 40, 80):
+    for rate in (0, 1, 2, 4, 8) if full_announcements else (0, 10, 20, 40, 80):
         before = fleet.status(name)["counters"]
         began = cpu_seconds(fleet.pid(name))
         if rate:
-            trio.run(send_datagrams, fleet, entry, rate, WINDOW_SECONDS, whole)
+            trio.run(send_datagrams, fleet, entry, rate, WINDOW_SECONDS, full_announcements)
         else:
             time.sleep(WINDOW_SECONDS)
         used = cpu_seconds(fleet.pid(name)) - began
         after = fleet.status(name)["counters"]
-        moved = [
+        byte_rates = [
             (after.get(key, 0) - before.get(key, 0)) / WINDOW_SECONDS
             for key in ("datagram.bytes_sent", "datagram.bytes_received")
         ]
         points.append(
-            Point(rate, used / WINDOW_SECONDS, memory_mb(fleet.pid(name)), moved[0], moved[1])
+            Point(
+                rate,
+                used / WINDOW_SECONDS,
+                memory_mb(fleet.pid(name)),
+                byte_rates[0],
+                byte_rates[1],
+            )
         )
     return points
 
@@ -225,11 +233,11 @@
     return points
 
 
-def measure_added(site) -> dict[str, float]:
+def measure_added_latency(site) -> dict[str, float]:
     """Measure the latency that an entry VM adds to the first byte, with sequential requests."""
     spec = site.specs["engine-sala-a-1"]
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
-    through, direct = [], []
+    via_entry, direct = [], []
 
     async def send() -> None:
         async with site.caller("entry-sala-a-1") as caller:
@@ -237,7 +245,7 @@
                 outcome = await caller.complete(
                     "redactor", customer_key(CUSTOMER), prompt, 1, 20_000
                 )
-                through.append(outcome.first_token * 1000)
+                via_entry.append(outcome.first_token * 1000)
                 body = {
                     "request": f"direct-{number}", "attempt": 1, "model": "redactor",
                     "prompt": prompt, "max_tokens": 1, "priority": 0, "offset": 0,
@@ -250,12 +258,12 @@
                 direct.append((trio.current_time() - began) * 1000)
 
     trio.run(send)
-    median = statistics.median(through) - statistics.median(direct)
-    p99 = float(np.percentile(through, 99) - np.percentile(direct, 99))
+    median = statistics.median(via_entry) - statistics.median(direct)
+    p99 = float(np.percentile(via_entry, 99) - np.percentile(direct, 99))
     return {"median_ms": median, "p99_ms": p99, "direct_median_ms": statistics.median(direct)}
 
 
-def measure_streams(site) -> list[Point]:
+def measure_stream_memory(site) -> list[Point]:
     """Measure the memory of an entry VM with many open streams."""
     name = "entry-sala-b-1"
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
@@ -304,7 +312,7 @@
     }
 
 
-def measure_leader_deaths(site) -> dict[str, float]:
+def measure_leader_failures(site) -> dict[str, float]:
     """Measure how long a claim waits after the leader is killed."""
     waits = []
     for number in range(8):
@@ -330,7 +338,7 @@
     return {"median_s": statistics.median(waits), "longest_s": max(waits), "times": len(waits)}
 
 
-def idle_costs(fleet: Fleet, names: list[str]) -> dict[str, Point]:
+def measure_idle(fleet: Fleet, names: list[str]) -> dict[str, Point]:
     """Measure processes that handle only control traffic."""
     began = {name: cpu_seconds(fleet.pid(name)) for name in names}
     time.sleep(WINDOW_SECONDS * 2)
@@ -343,7 +351,7 @@
     }  # fmt: skip
 
 
-def at_target_size(folder: Path) -> dict:
+def measure_target_size(folder: Path) -> dict:
     """Measure an entry VM and control replicas with settings of the target size."""
     with large_site(folder) as fleet:
         for control in fleet.settings.controls:
@@ -353,9 +361,9 @@
         fleet.wait_listening(entry.host, entry.port)
         leader = fleet.wait_leader()
         follower = next(c.name for c in fleet.settings.controls if c.name != leader)
-        loads = measure_announcements(fleet, "entry-000", whole=False)
-        whole = measure_announcements(fleet, "entry-000", whole=True)
-        idle = idle_costs(fleet, ["entry-000", leader, follower])
+        loads = measure_announcements(fleet, "entry-000", full_announcements=False)
+        announcements = measure_announcements(fleet, "entry-000", full_announcements=True)
+        idle = measure_idle(fleet, ["entry-000", leader, follower])
         polls = measure_polls(fleet, follower)
         claims = measure_claims(fleet)
     return {
@@ -365,10 +373,10 @@
         "loads": loads,
         "cpu_per_load_s": slope(loads),
         "bytes_received_per_load": slope(loads, "bytes_received"),
-        "announcements": whole,
-        "cpu_per_announcement_spread_s": slope(whole),
-        "bytes_sent_per_announcement_spread": slope(whole, "bytes_sent"),
-        "bytes_received_per_announcement": slope(whole, "bytes_received"),
+        "announcements": announcements,
+        "cpu_per_announcement_spread_s": slope(announcements),
+        "bytes_sent_per_announcement_spread": slope(announcements, "bytes_sent"),
+        "bytes_received_per_announcement": slope(announcements, "bytes_received"),
         "polls": polls,
         "cpu_per_poll_s": slope(polls),
         "claims": claims,
@@ -377,17 +385,17 @@
     }
 
 
-def at_small_site(stack: ExitStack, folder: Path) -> dict:
+def measure_small_site(stack: ExitStack, folder: Path) -> dict:
     """Measure the data path, configuration changes and leader failures at a small site."""
     site = start_running_site(
         stack, folder, networks().bench[1], entries_per_domain=2,
         engine_flags=("--memory_tokens=4000000",),
     )  # fmt: skip
     one, many = measure_requests(site, 1), measure_requests(site, 101)
-    added = measure_added(site)
-    streams = measure_streams(site)
+    added = measure_added_latency(site)
+    streams = measure_stream_memory(site)
     changes = measure_changes(site)
-    deaths = measure_leader_deaths(site)
+    failures = measure_leader_failures(site)
     return {
         "requests_of_1_token": one,
         "requests_of_101_tokens": many,
@@ -397,18 +405,18 @@
         "streams": streams,
         "memory_per_stream_mb": slope(streams, "memory_mb"),
         "changes": changes,
-        "leader_deaths": deaths,
+        "leader_deaths": failures,
     }
 
 
 def main(path: Path) -> None:
     """Run all measurements, and write and print the results."""
-    with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        folder = Path(name)
-        small = at_small_site(stack, folder / "small")
+    with tempfile.TemporaryDirectory() as directory, ExitStack() as stack:
+        folder = Path(directory)
+        small = measure_small_site(stack, folder / "small")
         stack.close()
-        found = at_target_size(folder / "large") | small
-    document = msgspec.json.format(msgspec.json.encode(found), indent=1)
+        results = measure_target_size(folder / "large") | small
+    document = msgspec.json.format(msgspec.json.encode(results), indent=1)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(document + b"\n")
     print(document.decode())
--- a/tests/bench/test_pass_bench.py
+++ b/tests/bench/test_pass_bench.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from siskinspoke.bench.pass_bench import LOADS, CellPlacement, Run, outcome_of
+from siskinspoke.bench.pass_bench import LOADS, CellPlacement, Simulation, outcome_of
 
 BY_NAME = {item.name: item for item in LOADS}
 SEEDS, SECONDS = (1, 2, 3), 12.0
 
 
-def earned(name: str) -> float:
+def earned_fraction(name: str) -> float:
     """Return the mean fraction of the value owed that placement earns under a load."""
-    outcomes = [outcome_of(Run(BY_NAME[name], seed).play(SECONDS)) for seed in SEEDS]
-    return sum(item.earned for item in outcomes) / len(outcomes)
+    outcomes = [outcome_of(Simulation(BY_NAME[name], seed).run(SECONDS)) for seed in SEEDS]
+    return sum(item.earned_fraction for item in outcomes) / len(outcomes)
 
 
 class TestLoads:
@@ -26,18 +26,18 @@
     """
 
     @pytest.mark.parametrize(
-        ("name", "least"),
+        ("name", "min_fraction"),
         [
             ("a third of the engines lost", 0.85),
             ("burst of longs", 0.94),
             ("large fleet, burst of shorts", 0.95),
         ],
     )
-    def test_worst_loads(self, name, least):
-        assert earned(name) >= least
+    def test_difficult_loads(self, name, min_fraction):
+        assert earned_fraction(name) >= min_fraction
 
-    def test_a_calm_day_loses_nothing(self):
-        assert earned("calm") >= 0.98
+    def test_calm_load(self):
+        assert earned_fraction("calm") >= 0.98
 
 
 class TestPile:
@@ -52,22 +52,22 @@
 
     def test_after_a_loss_of_all(self):
         load = BY_NAME["slow steps, after a loss of all"]
-        runs = [Run(load, seed).play(3.0) for seed in self.SEEDS]
+        runs = [Simulation(load, seed).run(3.0) for seed in self.SEEDS]
         shorts = [item for run in runs for item in run if item.kind.name == "short"]
-        assert outcome_of(shorts).earned >= 0.925
+        assert outcome_of(shorts).earned_fraction >= 0.925
 
 
 class TestModel:
     """The simulation completes all prompts and is deterministic."""
 
-    def test_every_prompt_ends(self):
-        prompts = Run(BY_NAME["calm"], 1).play(4.0)
+    def test_every_prompt_completes(self):
+        prompts = Simulation(BY_NAME["calm"], 1).run(4.0)
         assert prompts
-        assert all(item.ended and item.written == item.events for item in prompts)
+        assert all(item.completed and item.events_sent == item.events for item in prompts)
 
-    def test_the_same_seed_gives_the_same_run(self):
-        first, second = (Run(BY_NAME["calm"], 7).play(3.0) for _ in range(2))
-        assert [item.first_ms for item in first] == [item.first_ms for item in second]
+    def test_equal_seeds_give_equal_runs(self):
+        first, second = (Simulation(BY_NAME["calm"], 7).run(3.0) for _ in range(2))
+        assert [item.first_token_ms for item in first] == [item.first_token_ms for item in second]
 
 
 class TestCells:
@@ -79,21 +79,23 @@
 
     SEEDS = (1, 2, 3, 4)
 
-    def earned(self, name: str, widens: bool) -> float:
+    def earned_fraction(self, name: str, widens: bool) -> float:
         placement = partial(CellPlacement, cells=10, widens=widens)
-        runs = [Run(BY_NAME[name], seed, placement=placement) for seed in self.SEEDS]
-        return outcome_of([prompt for run in runs for prompt in run.play(8.0)]).earned
+        runs = [Simulation(BY_NAME[name], seed, placement=placement) for seed in self.SEEDS]
+        return outcome_of([prompt for run in runs for prompt in run.run(8.0)]).earned_fraction
 
-    def test_calm_fleet_loses_nothing(self):
-        assert self.earned("195 engines", widens=True) >= 0.98
+    def test_calm_load(self):
+        assert self.earned_fraction("195 engines", widens=True) >= 0.98
 
     @pytest.mark.parametrize(
-        ("name", "least"),
+        ("name", "min_fraction"),
         [("195 engines, burst of longs", 0.97), ("195 engines, a third lost", 0.91)],
     )
-    def test_clumps_are_spread(self, name, least):
-        assert self.earned(name, widens=True) >= least
+    def test_uneven_load_is_spread(self, name, min_fraction):
+        assert self.earned_fraction(name, widens=True) >= min_fraction
 
-    def test_burst_needs_the_others(self):
+    def test_burst_benefits_from_other_cells(self):
         name = "195 engines, burst of shorts"
-        assert self.earned(name, widens=True) >= 1.03 * self.earned(name, widens=False)
+        assert self.earned_fraction(name, widens=True) >= 1.03 * self.earned_fraction(
+            name, widens=False
+        )
