--- a/siskinspoke/bench/pass_bench.py
+++ b/siskinspoke/bench/pass_bench.py
@@ -31,7 +31,7 @@
 # Weight of an output token relative to a prompt token in the size of a request.
 OUTPUT_TOKEN_WEIGHT = 10
 MAX_SIZE = 4.0
-# A caller disconnects and retries once if it has received nothing for its patience, which is the
+# A caller abandons its prompt and retries once if it has received nothing for its patience: the
 # longest of this, four times the target for the first token and eight times the allowed pause.
 MIN_PATIENCE_MS = 2_000.0
 # A rejected caller retries once, after this time.
@@ -59,7 +59,7 @@
 
     @property
     def patience_ms(self) -> float:
-        """Return how long a caller waits for the first token before it disconnects."""
+        """Return how long a caller waits for the first token before it abandons the prompt."""
         return max(MIN_PATIENCE_MS, 4 * self.target_ms, 8 * self.pause_ms)
 
 
@@ -178,7 +178,7 @@
     last_event_at: float = 0.0
     events_sent: int = 0
     completed: bool = False
-    disconnected: bool = False
+    abandoned: bool = False
     rejections: int = 0
     retry: "Prompt | None" = None
 
@@ -294,13 +294,13 @@
         prompt = Prompt(kind, job, events, self.now)
         self.prompts.append(prompt)
         self._place(prompt)
-        self._schedule(kind.patience_ms, self._disconnect, prompt)
+        self._schedule(kind.patience_ms, self._abandon, prompt)
 
-    def _disconnect(self, prompt: Prompt) -> None:
-        """Disconnect a caller that has received nothing; its first attempt is retried once."""
-        if prompt.first_token_ms is not None or prompt.disconnected:
+    def _abandon(self, prompt: Prompt) -> None:
+        """Abandon a prompt whose caller has received nothing; the first attempt is retried once."""
+        if prompt.first_token_ms is not None or prompt.abandoned:
             return
-        prompt.disconnected = True
+        prompt.abandoned = True
         for name in prompt.servers:
             engine = self._engines[name]
             if prompt in engine.prefill_queue:
@@ -310,7 +310,7 @@
         if prompt in self.prompts:
             prompt.retry = Prompt(prompt.kind, prompt.job, prompt.events, self.now)
             self._place(prompt.retry)
-            self._schedule(prompt.kind.patience_ms, self._disconnect, prompt.retry)
+            self._schedule(prompt.kind.patience_ms, self._abandon, prompt.retry)
 
     def _release_slot(self, head: ModelEngine, prompt: Prompt) -> None:
         """Release a prompt's slot and admit the next prompt in the queue."""
@@ -331,14 +331,14 @@
     def _place(self, prompt: Prompt) -> None:
         costs, now = self._load.costs, self.now
         place = self._placement.choose(costs, prompt.job, self._candidates, now, self._rng)
-        if prompt.disconnected:
+        if prompt.abandoned:
             return
         exceeds_wait_limit = place is not None and (
             self._expected_wait_ms(prompt, place) > self._max_wait_factor * prompt.kind.target_ms
         )
         if place is None or exceeds_wait_limit:
             prompt.rejections += 1
-            prompt.disconnected = prompt.rejections > 1
+            prompt.abandoned = prompt.rejections > 1
             self._schedule(RETRY_DELAY_MS, self._place, prompt)
             return
         prompt.servers, prompt.held_tokens = place.servers, place.held
@@ -374,7 +374,7 @@
         for prompt in list(engine.decoding):
             self._send_event(engine, prompt)
         for prompt in prefills:
-            if prompt.disconnected:
+            if prompt.abandoned:
                 continue
             prompt.parts_left -= 1
             if prompt.parts_left == 0:
--- a/siskinspoke/testing/elastic_group.py
+++ b/siskinspoke/testing/elastic_group.py
@@ -44,10 +44,10 @@
         """Return whether the group has converged and no replacement is pending."""
         return super().settled() and self.removed_name is None
 
-    def empty_disk(self, name: str) -> None:
+    def wipe_disk(self, name: str) -> None:
         """Wipe a replica's disk, unless a replacement is still in progress."""
         if self.removed_name is None:
-            super().empty_disk(name)
+            super().wipe_disk(name)
 
     def replace(self, name: str) -> None:
         """Remove a machine permanently and start an empty one under a new name."""
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -67,7 +67,7 @@
         self.replicas: dict[str, Replica | None] = {}
         self.in_flight: list[tuple[str, str, Any]] = []
         self.unsynced: dict[str, list[Output]] = {name: [] for name in self.names}
-        self.frozen: set[str] = set()
+        self.suspended: set[str] = set()
         self.cuts: set[tuple[str, str]] = set()
         self.applied: dict[str, list[Any]] = {name: [] for name in self.names}
         self.committed_entries: dict[int, Any] = {}
@@ -96,9 +96,9 @@
         """Stop a replica; unsynced outputs are lost."""
         self.replicas[name] = None
         self.unsynced[name] = []
-        self.frozen.discard(name)
+        self.suspended.discard(name)
 
-    def empty_disk(self, name: str) -> None:
+    def wipe_disk(self, name: str) -> None:
         """Stop a replica and wipe its disk, unless another wiped one is not yet readmitted."""
         if self.wiped_name is not None or not self._all_initialized():
             return
@@ -119,11 +119,11 @@
             case 0:
                 self.crash(name)
             case 1:
-                self.empty_disk(name)
+                self.wipe_disk(name)
             case 2:
-                self.frozen.add(name)
+                self.suspended.add(name)
             case 3:
-                self.frozen.discard(name)
+                self.suspended.discard(name)
             case 4:
                 self.cuts.add((name, other))
             case 5 | 17:
@@ -166,17 +166,17 @@
         replica = self.replicas[to]
         if replica is None or (sender, to) in self.cuts:
             return
-        if to in self.frozen:
+        if to in self.suspended:
             self.in_flight.append((sender, to, item))
             return
         replica.receive(item, self.now)
         self._process_output(to, replica.take_output())
 
     def pass_time(self, milliseconds: float) -> None:
-        """Advance the clock and tick each running replica that is not frozen."""
+        """Advance the clock and tick each running replica that is not suspended."""
         self.now += milliseconds
         for name, replica in self.replicas.items():
-            if replica is not None and name not in self.frozen:
+            if replica is not None and name not in self.suspended:
                 replica.tick(self.now)
                 self._process_output(name, replica.take_output())
                 if self.rng.random() < SYNC_AFTER_TICK_PROBABILITY:
@@ -185,7 +185,7 @@
     def propose(self) -> None:
         """Propose a command at every replica that considers itself leader."""
         for name, replica in self.replicas.items():
-            if replica is None or name in self.frozen or replica.role is not Role.LEADER:
+            if replica is None or name in self.suspended or replica.role is not Role.LEADER:
                 continue
             self.proposal_count += 1
             replica.propose(COMMAND, self.proposal_count, self.now)
@@ -258,7 +258,7 @@
     def heal(self, milliseconds: float = 20_000) -> None:
         """Remove all faults and run until the group has converged, or for ``milliseconds``."""
         self.cuts.clear()
-        self.frozen.clear()
+        self.suspended.clear()
         self.restart_stopped()
         end = self.now + milliseconds
         while self.now < end and not self.settled():
