--- a/siskinspoke/bench/feed_slopes.py
+++ b/siskinspoke/bench/feed_slopes.py
@@ -1,4 +1,4 @@
-"""Measure what a follower and an announcement cost a registry, as a process on this machine.
+"""Measure the processor time that feed followers and announcements cost a registry process.
 
 Usage: python -m siskinspoke.bench.feed_slopes
 """
@@ -17,19 +17,19 @@
 from siskinspoke.testing.group_site import INTERNAL_PORTS, OPERATORS_PORT, GroupSite
 from siskinspoke.testing.networks import FEED_SLOPES
 
-SERVERS = 50
+SERVER_COUNT = 50
 SETTLE_SECONDS, MEASURE_SECONDS = 3.0, 6.0
 POINTS = ((0, 0), (50, 0), (100, 0), (0, 40), (100, 40))
 
 
-def processor_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+def cpu_seconds(pid: int) -> float:
+    """Return the processor time used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 async def follow(site: GroupSite, number: int, log: DecisionLog) -> None:
-    """Be one follower of the registry."""
+    """Run one follower of the registry's feed."""
     listener = Listener(
         on_publication=lambda version, document: None,
         on_news=lambda announcements: None,
@@ -42,22 +42,22 @@
     await FeedSet(me, (host,), INTERNAL_PORTS[0] + 1, b"test", listener, Counters(), log).run()
 
 
-async def announce(site: GroupSite, a_second: int) -> None:
-    """Send announcements of a few servers at a rate."""
+async def announce(site: GroupSite, rate: int) -> None:
+    """Send ``a_second`` announcements per second, for ``SERVERS`` servers in turn."""
     url = f"http://{site.host_of('c1')}:{OPERATORS_PORT}/instances/i-%d/heartbeat"
     seq = time.time_ns()
     async with httpx.AsyncClient(trust_env=False) as client:
         while True:
             seq += 1
-            number = seq % SERVERS
+            number = seq % SERVER_COUNT
             address = f"10.0.0.{number}:1"
             body = {"service": "s", "address": address, "zone": "a", "seq": seq}
             await client.post(url % number, json=body)
-            await trio.sleep(1 / a_second)
+            await trio.sleep(1 / rate)
 
 
 async def measure(site: GroupSite, followers: int, announcements: int, log: DecisionLog) -> float:
-    """Return the share of a core that the registry uses at one point."""
+    """Return the fraction of a core that the registry uses at one load."""
     pid = site.pid("c1")
     async with trio.open_nursery() as nursery:
         for number in range(followers):
@@ -65,25 +65,25 @@
         if announcements:
             nursery.start_soon(announce, site, announcements)
         await trio.sleep(SETTLE_SECONDS)
-        used, began = processor_seconds(pid), time.monotonic()
+        used, began = cpu_seconds(pid), time.monotonic()
         await trio.sleep(MEASURE_SECONDS)
-        share = (processor_seconds(pid) - used) / (time.monotonic() - began)
+        share = (cpu_seconds(pid) - used) / (time.monotonic() - began)
         nursery.cancel_scope.cancel()
     return share
 
 
 async def main() -> None:
-    """Print every point."""
+    """Measure and print all points."""
     site = GroupSite(Path(tempfile.mkdtemp(prefix="feed-slopes-")), FEED_SLOPES)
     site.seeds = [site.host_of("c1")]
-    with open(os.devnull, "w") as nowhere:
-        log = DecisionLog("bench", nowhere)
+    with open(os.devnull, "w") as devnull:
+        log = DecisionLog("bench", devnull)
         try:
             site.start("c1", found=True)
             await trio.sleep(SETTLE_SECONDS)
             for followers, announcements in POINTS:
                 share = await measure(site, followers, announcements, log)
-                print(f"{followers} followers, {announcements} a second: {share:.3f} of a core")
+                print(f"{followers} followers, {announcements} announcements/s: {share:.3f} cores")
         finally:
             site.close()
 
--- a/siskinspoke/bench/report.py
+++ b/siskinspoke/bench/report.py
@@ -1,4 +1,4 @@
-"""Run the whole policy bench and write its report.
+"""Run the policy benchmark and write its report.
 
 Usage: python -m siskinspoke.bench.report [FOLDER]
 """
@@ -24,7 +24,7 @@
 
 
 class Job(NamedTuple):
-    """One row of the report."""
+    """The parameters of one row of the report."""
 
     mix: str
     policy: str
@@ -35,7 +35,7 @@
 
 
 class Row(NamedTuple):
-    """What one run measured; times in milliseconds, shares between 0 and 1."""
+    """The results of one run; times in milliseconds, shares between 0 and 1."""
 
     job: Job
     capacity: float
@@ -49,13 +49,13 @@
     fairness: float
 
     @property
-    def harm(self) -> float:
-        """Return the slowdown of shorts when longs share the fleet."""
+    def slowdown(self) -> float:
+        """Return the slowdown of short prompts caused by long prompts on the same engines."""
         return self.short_p95 / self.short_p95_alone
 
 
 def scenario_of(job: Job) -> bench.Scenario:
-    """Return the scenario of a job, without its rate."""
+    """Return the scenario of a job, without policy, rate and count."""
     parameters = bench.EngineParameters(step_base_ms=job.step_base_ms)
     return bench.Scenario(
         MIXES[job.mix], slow_share=job.slow_share, engines=job.engines, parameters=parameters
@@ -63,7 +63,7 @@
 
 
 def capacity(job: Job) -> float:
-    """Return the capacity in requests a second that a job's load is a share of."""
+    """Return the capacity in requests per second, which a job's load is relative to."""
     return bench.capacity_rate(scenario_of(job)._replace(slow_share=0.0))
 
 
@@ -95,7 +95,7 @@
 
 
 def jobs() -> list[Job]:
-    """Return every row of the report."""
+    """Return the jobs for all rows of the report."""
     rows = [Job(mix, "product", load) for mix in MIXES for load in LOADS]
     rows += [Job(mix, policy, load) for mix in MIXES for policy in BASELINES for load in (0.8, 2.0)]
     rows += [Job(mix, policy, 0.8) for mix in MIXES for policy in ALTERNATIVES]
@@ -105,16 +105,16 @@
 
 
 def run_all() -> list[Row]:
-    """Run all jobs side by side."""
-    todo = jobs()
+    """Run all jobs in parallel."""
+    pending = jobs()
     with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
-        keys = sorted({job._replace(policy="", load=0.0, slow_share=0.0) for job in todo})
+        keys = sorted({job._replace(policy="", load=0.0, slow_share=0.0) for job in pending})
         capacities = dict(zip(keys, pool.map(capacity, keys), strict=True))
-        rates = [capacities[job._replace(policy="", load=0.0, slow_share=0.0)] for job in todo]
-        return list(pool.map(measure, todo, rates))
+        rates = [capacities[job._replace(policy="", load=0.0, slow_share=0.0)] for job in pending]
+        return list(pool.map(measure, pending, rates))
 
 
-def _triple(values: tuple[float, ...]) -> str:
+def _format_triple(values: tuple[float, ...]) -> str:
     return " / ".join(f"{value:.2f}" for value in values)
 
 
@@ -131,15 +131,16 @@
         name = job.policy if job.engines == 20 else f"{job.policy}, 10 engines, 12 ms steps"
         lines.append(
             f"| {job.mix} | {name} | {job.load:.0%} | {job.slow_share:.0%} "
-            f"| {row.short_p95:.0f} | {row.short_p95_alone:.0f} | {row.harm:.2f} "
-            f"| {_triple(row.stretch_median)} | {_triple(row.stretch_p95)} "
-            f"| {_triple(row.on_time)} | {row.useful:.2f} | {row.late} | {row.fairness:.3f} |"
+            f"| {row.short_p95:.0f} | {row.short_p95_alone:.0f} | {row.slowdown:.2f} "
+            f"| {_format_triple(row.stretch_median)} | {_format_triple(row.stretch_p95)} "
+            f"| {_format_triple(row.on_time)} "
+            f"| {row.useful:.2f} | {row.late} | {row.fairness:.3f} |"
         )
     return "\n".join(lines)
 
 
 def main(folder: Path) -> None:
-    """Write the table, the raw rows and a chart."""
+    """Write the table, the raw rows and a chart for each mix."""
     folder.mkdir(parents=True, exist_ok=True)
     rows = run_all()
     (folder / "policy.md").write_text(table(rows) + "\n")
@@ -147,7 +148,7 @@
     (folder / "policy.json").write_bytes(msgspec.json.format(raw, indent=1))
     for mix in MIXES:
         at_80 = [r for r in rows if r.job.mix == mix and r.job.load == 0.8 and r.job.engines == 20]
-        bars = {r.job.policy: r.harm for r in at_80 if not r.job.slow_share}
+        bars = {r.job.policy: r.slowdown for r in at_80 if not r.job.slow_share}
         title = f"{mix}: slowdown of short prompts when longs share the fleet, 80% load"
         (folder / f"harm-{mix}.svg").write_text(bar_chart(title, bars))
     print(table(rows))
--- a/siskinspoke/bench/slopes.py
+++ b/siskinspoke/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measure what each role costs per message, at several sizes, on real processes.
+"""Measure the cost per message of each role at several rates, on real processes.
 
 Usage: python -m siskinspoke.bench.slopes [FILE]
 
-The points and the slopes go to FILE as JSON; docs/CAPACITY.md is worked out from them.
+Writes the points and the fitted slopes to FILE as JSON; docs/CAPACITY.md is based on them.
 """
 
 import os
@@ -30,7 +30,7 @@
 from siskinspoke.testing.site import DOMAINS, customer, customer_key, write_site
 from siskinspoke.transport.datagrams import open_datagram_port
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 TARGET_ENTRIES = 420
 TARGET_CUSTOMERS = 2_600
 WINDOW_SECONDS = 6.0
@@ -38,7 +38,7 @@
 
 
 class Point(NamedTuple):
-    """One measured point: how much of what, and what it cost."""
+    """One measurement: the amount of load, usually a rate, and the resources used."""
 
     amount: float
     cpu_seconds: float
@@ -48,13 +48,13 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process so far."""
+    """Return the processor time used by a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -62,14 +62,14 @@
 
 
 def slope(points: list[Point], field: str = "cpu_seconds") -> float:
-    """Return the cost of one more, by least squares."""
+    """Return the marginal cost of one unit of load, by least squares."""
     amounts = [point.amount for point in points]
     costs = [getattr(point, field) for point in points]
     return float(np.polyfit(amounts, costs, 1)[0])
 
 
 def announcement(number: int, seq: int, domain: str) -> Announcement:
-    """Return an announcement of a made-up engine."""
+    """Return an announcement of a fictitious engine."""
     queued = [0, 1_200, 0, 5_000, 0, 0, 90_000] + [0] * 9
     name = f"engine-{number:04}"
     return Announcement(
@@ -79,7 +79,7 @@
 
 
 def large_site(folder: Path) -> Fleet:
-    """Return a fleet whose settings are as large as the target; few of its VMs run."""
+    """Return a fleet with settings of the target size, of whose VMs only a few are started."""
     net = networks().bench[0]
     many = [
         {
@@ -97,45 +97,53 @@
     return Fleet(folder, files.base, files.overlay)
 
 
-async def send_datagrams(fleet: Fleet, entry, rate: float, seconds: float, whole: bool) -> None:
-    """Send announcements or loads to one entry VM at a steady rate."""
+async def send_datagrams(
+    fleet: Fleet, entry, rate: float, seconds: float, full_announcements: bool
+) -> None:
+    """Send announcements or load reports to one entry VM at a constant rate."""
     port = await open_datagram_port("127.0.0.1", 0, fleet.settings.internal_key, Counters())
     began = trio.current_time()
     servers = 100
     for sent in range(int(rate * seconds)):
         item = announcement(sent % servers, 10 + sent // servers, entry.failure_domain)
-        message = item if whole else load_of(item, 0)
-        if not whole and sent < servers:
+        message = item if full_announcements else load_of(item, 0)
+        if not full_announcements and sent < servers:
             message = Spread(item)
         await port.send(message, entry.host, entry.internal_port)
         await trio.sleep_until(began + (sent + 1) / rate)
 
 
-def measure_announcements(fleet: Fleet, name: str, whole: bool) -> list[Point]:
-    """Measure an entry VM that hears loads, or announcements that it spreads."""
+def measure_announcements(fleet: Fleet, name: str, full_announcements: bool) -> list[Point]:
+    """Measure an entry VM that receives load reports, or announcements that it forwards."""
     entry = fleet.settings.entry(name)
     points = []
-    for rate in (0, 1, 2, 4, 8) if whole else (0, 10, 20, 40, 80):
+    for rate in (0, 1, 2, 4, 8) if full_announcements else (0, 10, 20, 40, 80):
         before = fleet.status(name)["counters"]
         began = cpu_seconds(fleet.pid(name))
         if rate:
-            trio.run(send_datagrams, fleet, entry, rate, WINDOW_SECONDS, whole)
+            trio.run(send_datagrams, fleet, entry, rate, WINDOW_SECONDS, full_announcements)
         else:
             time.sleep(WINDOW_SECONDS)
         used = cpu_seconds(fleet.pid(name)) - began
         after = fleet.status(name)["counters"]
-        moved = [
+        byte_rates = [
             (after.get(key, 0) - before.get(key, 0)) / WINDOW_SECONDS
             for key in ("datagram.bytes_sent", "datagram.bytes_received")
         ]
         points.append(
-            Point(rate, used / WINDOW_SECONDS, memory_mb(fleet.pid(name)), moved[0], moved[1])
+            Point(
+                rate,
+                used / WINDOW_SECONDS,
+                memory_mb(fleet.pid(name)),
+                byte_rates[0],
+                byte_rates[1],
+            )
         )
     return points
 
 
 def measure_polls(fleet: Fleet, control_name: str) -> list[Point]:
-    """Measure a control replica that entry VMs ask for newer configuration."""
+    """Measure a control replica that entry VMs poll for newer configuration."""
     control = fleet.settings.control_vm(control_name)
 
     async def poll(rate: float) -> None:
@@ -156,7 +164,7 @@
 
 
 class ClaimRun(NamedTuple):
-    """What claims at one rate cost; latencies in milliseconds."""
+    """The cost of claims at one rate; latencies in milliseconds."""
 
     leader: Point
     follower: Point
@@ -165,7 +173,7 @@
 
 
 def measure_claims(fleet: Fleet) -> list[ClaimRun]:
-    """Measure leader and follower under claims, each settled, and their latency."""
+    """Measure leader, follower and claim latency at several rates of claims, each then settled."""
     leader = fleet.wait_leader()
     follower = next(c.name for c in fleet.settings.controls if c.name != leader)
     key, target = fleet.settings.internal_key, Target("s", 1, "127.0.0.1", 9)
@@ -204,7 +212,7 @@
 
 
 def measure_requests(site, output: int) -> list[Point]:
-    """Measure an entry VM that serves completions of a given output length."""
+    """Measure an entry VM that serves completions with a given number of output tokens."""
     name = "entry-sala-a-1"
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
 
@@ -225,11 +233,11 @@
     return points
 
 
-def measure_added(site) -> dict[str, float]:
-    """Measure the time to first byte that the entry VM adds, one request at a time."""
+def measure_added_latency(site) -> dict[str, float]:
+    """Measure the latency that an entry VM adds to the first byte, with sequential requests."""
     spec = site.specs["engine-sala-a-1"]
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
-    through, direct = [], []
+    via_entry, direct = [], []
 
     async def send() -> None:
         async with site.caller("entry-sala-a-1") as caller:
@@ -237,7 +245,7 @@
                 outcome = await caller.complete(
                     "redactor", customer_key(CUSTOMER), prompt, 1, 20_000
                 )
-                through.append(outcome.first_token * 1000)
+                via_entry.append(outcome.first_token * 1000)
                 body = {
                     "request": f"direct-{number}", "attempt": 1, "model": "redactor",
                     "prompt": prompt, "max_tokens": 1, "priority": 0, "offset": 0,
@@ -250,13 +258,13 @@
                 direct.append((trio.current_time() - began) * 1000)
 
     trio.run(send)
-    median = statistics.median(through) - statistics.median(direct)
-    p99 = float(np.percentile(through, 99) - np.percentile(direct, 99))
+    median = statistics.median(via_entry) - statistics.median(direct)
+    p99 = float(np.percentile(via_entry, 99) - np.percentile(direct, 99))
     return {"median_ms": median, "p99_ms": p99, "direct_median_ms": statistics.median(direct)}
 
 
-def measure_streams(site) -> list[Point]:
-    """Measure an entry VM's memory with many open streams."""
+def measure_stream_memory(site) -> list[Point]:
+    """Measure the memory of an entry VM with many open streams."""
     name = "entry-sala-b-1"
     prompt = prompt_text(CUSTOMER, 0, 1, 1_000, 0.0)
     points = [Point(0, 0.0, memory_mb(site.fleet.pid(name)))]
@@ -280,7 +288,7 @@
 
 
 def measure_changes(site) -> dict[str, float]:
-    """Measure the time from a change's sending to its being in force at every entry VM."""
+    """Measure the time from submitting a configuration until all entry VMs have it in force."""
     times = []
     with Operator(site.fleet.settings) as operator:
         document = dict(site.fleet.settings.configuration_document)
@@ -304,8 +312,8 @@
     }
 
 
-def measure_leader_deaths(site) -> dict[str, float]:
-    """Measure how long claims wait after the leader is killed."""
+def measure_leader_failures(site) -> dict[str, float]:
+    """Measure how long a claim waits after the leader is killed."""
     waits = []
     for number in range(8):
         leader = site.fleet.wait_leader()
@@ -330,8 +338,8 @@
     return {"median_s": statistics.median(waits), "longest_s": max(waits), "times": len(waits)}
 
 
-def idle_costs(fleet: Fleet, names: list[str]) -> dict[str, Point]:
-    """Measure processes that have nothing to do but their control traffic."""
+def measure_idle(fleet: Fleet, names: list[str]) -> dict[str, Point]:
+    """Measure processes that handle only control traffic."""
     began = {name: cpu_seconds(fleet.pid(name)) for name in names}
     time.sleep(WINDOW_SECONDS * 2)
     return {
@@ -343,8 +351,8 @@
     }  # fmt: skip
 
 
-def at_target_size(folder: Path) -> dict:
-    """Measure an entry VM and replicas with settings as large as the target."""
+def measure_target_size(folder: Path) -> dict:
+    """Measure an entry VM and control replicas with settings of the target size."""
     with large_site(folder) as fleet:
         for control in fleet.settings.controls:
             fleet.start_control(control.name)
@@ -353,9 +361,9 @@
         fleet.wait_listening(entry.host, entry.port)
         leader = fleet.wait_leader()
         follower = next(c.name for c in fleet.settings.controls if c.name != leader)
-        loads = measure_announcements(fleet, "entry-000", whole=False)
-        whole = measure_announcements(fleet, "entry-000", whole=True)
-        idle = idle_costs(fleet, ["entry-000", leader, follower])
+        loads = measure_announcements(fleet, "entry-000", full_announcements=False)
+        announcements = measure_announcements(fleet, "entry-000", full_announcements=True)
+        idle = measure_idle(fleet, ["entry-000", leader, follower])
         polls = measure_polls(fleet, follower)
         claims = measure_claims(fleet)
     return {
@@ -365,10 +373,10 @@
         "loads": loads,
         "cpu_per_load_s": slope(loads),
         "bytes_received_per_load": slope(loads, "bytes_received"),
-        "announcements": whole,
-        "cpu_per_announcement_spread_s": slope(whole),
-        "bytes_sent_per_announcement_spread": slope(whole, "bytes_sent"),
-        "bytes_received_per_announcement": slope(whole, "bytes_received"),
+        "announcements": announcements,
+        "cpu_per_announcement_spread_s": slope(announcements),
+        "bytes_sent_per_announcement_spread": slope(announcements, "bytes_sent"),
+        "bytes_received_per_announcement": slope(announcements, "bytes_received"),
         "polls": polls,
         "cpu_per_poll_s": slope(polls),
         "claims": claims,
@@ -377,17 +385,17 @@
     }
 
 
-def at_small_site(stack: ExitStack, folder: Path) -> dict:
-    """Measure the data path, changes and leader deaths at a running small site."""
+def measure_small_site(stack: ExitStack, folder: Path) -> dict:
+    """Measure the data path, configuration changes and leader failures at a small site."""
     site = start_running_site(
         stack, folder, networks().bench[1], entries_per_domain=2,
         engine_flags=("--memory_tokens=4000000",),
     )  # fmt: skip
     one, many = measure_requests(site, 1), measure_requests(site, 101)
-    added = measure_added(site)
-    streams = measure_streams(site)
+    added = measure_added_latency(site)
+    streams = measure_stream_memory(site)
     changes = measure_changes(site)
-    deaths = measure_leader_deaths(site)
+    failures = measure_leader_failures(site)
     return {
         "requests_of_1_token": one,
         "requests_of_101_tokens": many,
@@ -397,18 +405,18 @@
         "streams": streams,
         "memory_per_stream_mb": slope(streams, "memory_mb"),
         "changes": changes,
-        "leader_deaths": deaths,
+        "leader_deaths": failures,
     }
 
 
 def main(path: Path) -> None:
-    """Measure everything and write it down."""
-    with tempfile.TemporaryDirectory() as name, ExitStack() as stack:
-        folder = Path(name)
-        small = at_small_site(stack, folder / "small")
+    """Run all measurements, and write and print the results."""
+    with tempfile.TemporaryDirectory() as directory, ExitStack() as stack:
+        folder = Path(directory)
+        small = measure_small_site(stack, folder / "small")
         stack.close()
-        found = at_target_size(folder / "large") | small
-    document = msgspec.json.format(msgspec.json.encode(found), indent=1)
+        results = measure_target_size(folder / "large") | small
+    document = msgspec.json.format(msgspec.json.encode(results), indent=1)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(document + b"\n")
     print(document.decode())
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -1,7 +1,7 @@
-"""Drive several replicas' decisions through one schedule of faults, without processes.
+"""Simulate a group of replicas under a schedule of faults, in one process and virtual time.
 
-A schedule is a stream of whole numbers; each one chooses the next step.  The same numbers give
-the same run, so a failing schedule can be shrunk and kept.
+A schedule is a sequence of integers, each of which encodes one step.  Equal schedules give equal
+runs, so a failing schedule can be shrunk and kept as a regression test.
 """
 
 import random
@@ -21,21 +21,21 @@
 )
 
 TIMES = Times(heartbeat_ms=50, election_ms=250)
-MAX_IN_FLIGHT = 400
-COMPACT_EVERY = 12
+MAX_IN_FLIGHT_MESSAGES = 400
+COMPACTION_INTERVAL_ENTRIES = 12
 COMMAND = "command"
-# Share of commits that reach the disk before the next record does.
-SAVED_COMMITS = 0.3
+# Probability that a commit index reaches the disk before the next record is written.
+COMMIT_PERSIST_PROBABILITY = 0.3
 # Probabilities that a replica syncs directly after an output, and after a tick.
-SYNCED_AFTER_OUTPUT, SYNCED_AFTER_TICK = 0.5, 0.8
+SYNC_AFTER_OUTPUT_PROBABILITY, SYNC_AFTER_TICK_PROBABILITY = 0.5, 0.8
 
 
 class InvariantError(AssertionError):
-    """Something that must always hold did not."""
+    """A safety property of the replica group was violated."""
 
 
 class Disk:
-    """What one replica has synced."""
+    """The synced state of one replica."""
 
     def __init__(self) -> None:
         self.identity: Identity | None = None
@@ -43,7 +43,7 @@
         self.records: list[HardState | Admitted | Committed | Entry] = []
 
     def write(self, out: Output) -> None:
-        """Write the persistent part of an output."""
+        """Persist the identity, snapshot and records of an output."""
         if out.identity is not None:
             self.identity = out.identity
         if out.snapshot is not None:
@@ -52,14 +52,14 @@
             self.records.extend(out.records)
 
     def restored(self) -> RestoredState:
-        """Return what a restarted replica finds."""
+        """Return the state that a restarted replica recovers."""
         return restore_state(self.identity, self.snapshot, self.records)
 
 
 class ReplicaGroup:
-    """Replicas, their disks and the messages between them, all in one place."""
+    """Replicas, their simulated disks and the messages in flight between them."""
 
-    def __init__(self, count: int, seed: int, kind: type[Replica] = Replica):
+    def __init__(self, count: int, seed: int, replica_class: type[Replica] = Replica):
         self.names = [f"r{number}" for number in range(count)]
         self.now = 0.0
         self.rng = random.Random(seed)
@@ -67,21 +67,21 @@
         self.replicas: dict[str, Replica | None] = {}
         self.in_flight: list[tuple[str, str, Any]] = []
         self.unsynced: dict[str, list[Output]] = {name: [] for name in self.names}
-        self.frozen: set[str] = set()
+        self.suspended: set[str] = set()
         self.cuts: set[tuple[str, str]] = set()
         self.applied: dict[str, list[Any]] = {name: [] for name in self.names}
-        self.accepted: dict[int, Any] = {}
-        self.leaders: dict[int, str] = {}
-        self.unhealed: str | None = None
-        self.proposed = 0
-        self._kind = kind
+        self.committed_entries: dict[int, Any] = {}
+        self.leader_by_term: dict[int, str] = {}
+        self.wiped_name: str | None = None
+        self.proposal_count = 0
+        self._replica_class = replica_class
         for name in self.names:
             self.start(name)
 
     def start(self, name: str) -> None:
         """Start a replica from its disk."""
         self.unsynced[name] = []
-        self.replicas[name] = self._kind(
+        self.replicas[name] = self._replica_class(
             name,
             self.names,
             TIMES,
@@ -93,25 +93,25 @@
         self.applied[name] = list(snapshot.document["applied"]) if snapshot else []
 
     def crash(self, name: str) -> None:
-        """Kill a replica; what it had not synced is gone."""
+        """Stop a replica; unsynced outputs are lost."""
         self.replicas[name] = None
         self.unsynced[name] = []
-        self.frozen.discard(name)
+        self.suspended.discard(name)
 
-    def empty_disk(self, name: str) -> None:
-        """Kill a replica and lose its disk, unless another one has not healed yet."""
-        if self.unhealed is not None or not self._all_founded():
+    def wipe_disk(self, name: str) -> None:
+        """Stop a replica and wipe its disk, unless another wiped one is not yet readmitted."""
+        if self.wiped_name is not None or not self._all_initialized():
             return
-        self.unhealed = name
+        self.wiped_name = name
         self.crash(name)
         self.disks[name] = Disk()
         self.applied[name] = []
 
-    def _all_founded(self) -> bool:
+    def _all_initialized(self) -> bool:
         return all(disk.identity is not None for disk in self.disks.values())
 
     def step(self, number: int) -> None:
-        """Take the step that a number names."""
+        """Execute the step encoded by a number, then check the invariants."""
         kind, choice = number % 32, number // 32
         name = self.names[choice % len(self.names)]
         other = self.names[(choice // len(self.names)) % len(self.names)]
@@ -119,11 +119,11 @@
             case 0:
                 self.crash(name)
             case 1:
-                self.empty_disk(name)
+                self.wipe_disk(name)
             case 2:
-                self.frozen.add(name)
+                self.suspended.add(name)
             case 3:
-                self.frozen.discard(name)
+                self.suspended.discard(name)
             case 4:
                 self.cuts.add((name, other))
             case 5 | 17:
@@ -137,62 +137,62 @@
             case 11 | 12 | 13 | 14:
                 self.pass_time(choice % 120)
             case 15 | 18:
-                self.restart_dead()
+                self.restart_stopped()
             case _:
                 self.deliver(choice)
-        self.check()
+        self.check_invariants()
 
-    def restart_dead(self) -> None:
-        """Start every replica that is down."""
+    def restart_stopped(self) -> None:
+        """Start every stopped replica."""
         for name, replica in self.replicas.items():
             if replica is None:
                 self.start(name)
 
     def drop(self, choice: int) -> None:
-        """Lose one message."""
+        """Drop one message."""
         if self.in_flight:
             del self.in_flight[choice % len(self.in_flight)]
 
     def duplicate(self, choice: int) -> None:
-        """Deliver one message twice."""
+        """Duplicate one message."""
         if self.in_flight:
             self.in_flight.append(self.in_flight[choice % len(self.in_flight)])
 
     def deliver(self, choice: int) -> None:
-        """Deliver one message, not always the oldest."""
+        """Deliver one of the four oldest messages."""
         if not self.in_flight:
             return
         sender, to, item = self.in_flight.pop(choice % min(len(self.in_flight), 4))
         replica = self.replicas[to]
         if replica is None or (sender, to) in self.cuts:
             return
-        if to in self.frozen:
+        if to in self.suspended:
             self.in_flight.append((sender, to, item))
             return
         replica.receive(item, self.now)
-        self._carry_out(to, replica.take_output())
+        self._process_output(to, replica.take_output())
 
     def pass_time(self, milliseconds: float) -> None:
-        """Let time pass; each replica that is awake looks at the clock."""
+        """Advance the clock and tick each running replica that is not suspended."""
         self.now += milliseconds
         for name, replica in self.replicas.items():
-            if replica is not None and name not in self.frozen:
+            if replica is not None and name not in self.suspended:
                 replica.tick(self.now)
-                self._carry_out(name, replica.take_output())
-                if self.rng.random() < SYNCED_AFTER_TICK:
+                self._process_output(name, replica.take_output())
+                if self.rng.random() < SYNC_AFTER_TICK_PROBABILITY:
                     self.sync(name)
 
     def propose(self) -> None:
-        """Give every replica that believes to lead a command."""
+        """Propose a command at every replica that considers itself leader."""
         for name, replica in self.replicas.items():
-            if replica is None or name in self.frozen or replica.role is not Role.LEADER:
+            if replica is None or name in self.suspended or replica.role is not Role.LEADER:
                 continue
-            self.proposed += 1
-            replica.propose(COMMAND, self.proposed, self.now)
-            self._carry_out(name, replica.take_output())
+            self.proposal_count += 1
+            replica.propose(COMMAND, self.proposal_count, self.now)
+            self._process_output(name, replica.take_output())
 
-    def _carry_out(self, name: str, out: Output) -> None:
-        """Send, apply and write, as the owner of a replica does."""
+    def _process_output(self, name: str, out: Output) -> None:
+        """Send messages, apply entries and queue writes, as the host of a replica does."""
         replica, unsynced = self.replicas[name], self.unsynced[name]
         if out.snapshot is not None:
             self.applied[name] = list(out.snapshot.document["applied"])
@@ -200,28 +200,28 @@
         self._send_all(name, out.sends)
         for entry in out.committed:
             self._apply(name, entry)
-        if out.committed and self.rng.random() < SAVED_COMMITS:
+        if out.committed and self.rng.random() < COMMIT_PERSIST_PROBABILITY:
             out.records.append(Committed(out.committed[-1].index))
         unsynced.append(out)
-        if replica.commit - replica.log.base_index >= COMPACT_EVERY:
+        if replica.commit - replica.log.base_index >= COMPACTION_INTERVAL_ENTRIES:
             compacted = Output(out.mark)
             document = {"applied": list(self.applied[name])}
             compacted.snapshot = replica.compact(replica.commit, document)
             compacted.records = replica.persistent_records()
             unsynced.append(compacted)
-        if self.rng.random() < SYNCED_AFTER_OUTPUT:
+        if self.rng.random() < SYNC_AFTER_OUTPUT_PROBABILITY:
             self.sync(name)
 
     def sync(self, name: str) -> None:
-        """Write all unsynced outputs to disk, then send the messages that depend on them."""
+        """Write all unsynced outputs to disk, then send the messages that had to wait for them."""
         replica, disk = self.replicas[name], self.disks[name]
         while replica is not None and self.unsynced[name]:
-            waiting = self.unsynced[name]
+            pending = self.unsynced[name]
             self.unsynced[name] = []
-            for out in waiting:
+            for out in pending:
                 disk.write(out)
-            replica.synced(waiting[-1].mark, self.now)
-            for out in waiting:
+            replica.synced(pending[-1].mark, self.now)
+            for out in pending:
                 self._send_all(name, out.sends_after_sync)
             after = replica.take_output()
             self._send_all(name, after.sends)
@@ -232,71 +232,74 @@
 
     def _send_all(self, name: str, sends: list[tuple[str, Any]]) -> None:
         for to, item in sends:
-            if len(self.in_flight) < MAX_IN_FLIGHT:
+            if len(self.in_flight) < MAX_IN_FLIGHT_MESSAGES:
                 self.in_flight.append((name, to, item))
 
     def _apply(self, name: str, entry: Entry) -> None:
         self.applied[name].append((entry.index, entry.kind, entry.body))
-        known = self.accepted.setdefault(entry.index, (entry.kind, entry.body))
+        known = self.committed_entries.setdefault(entry.index, (entry.kind, entry.body))
         if known != (entry.kind, entry.body):
-            raise InvariantError(f"index {entry.index} accepted as {known} and as {entry}")
+            raise InvariantError(f"index {entry.index} was committed as {known} and as {entry}")
 
-    def check(self) -> None:
-        """Raise where two lead one term; note a replaced disk that counts again."""
-        emptied = self.replicas.get(self.unhealed)
-        if emptied is not None and emptied.admitted:
-            self.unhealed = None
+    def check_invariants(self) -> None:
+        """Raise InvariantError if two replicas led one term.
+
+        Also clears ``unhealed`` once the replica with the wiped disk is admitted.
+        """
+        wiped = self.replicas.get(self.wiped_name)
+        if wiped is not None and wiped.admitted:
+            self.wiped_name = None
         for name, replica in self.replicas.items():
             if replica is not None and replica.role is Role.LEADER:
-                leader = self.leaders.setdefault(replica.term, name)
+                leader = self.leader_by_term.setdefault(replica.term, name)
                 if leader != name:
                     raise InvariantError(f"{leader} and {name} both led term {replica.term}")
 
     def heal(self, milliseconds: float = 20_000) -> None:
-        """End all faults and let the group settle."""
+        """Remove all faults and run until the group has converged, or for ``milliseconds``."""
         self.cuts.clear()
-        self.frozen.clear()
-        self.restart_dead()
+        self.suspended.clear()
+        self.restart_stopped()
         end = self.now + milliseconds
         while self.now < end and not self.settled():
             for _ in range(len(self.in_flight)):
                 self.deliver(0)
             self.pass_time(10)
-            self.check()
+            self.check_invariants()
 
     def settled(self) -> bool:
-        """Tell whether one leads and all hold the same."""
+        """Return whether the group has one leader and all replicas have the same log committed."""
         leaders = [r for r in self.replicas.values() if r is not None and r.role is Role.LEADER]
-        live = [replica for replica in self.replicas.values() if replica is not None]
+        running = [replica for replica in self.replicas.values() if replica is not None]
         return (
             len(leaders) == 1
-            and self.unhealed is None
-            and len({replica.commit for replica in live}) == 1
+            and self.wiped_name is None
+            and len({replica.commit for replica in running}) == 1
             and leaders[0].commit == leaders[0].log.last_index
-            and all(replica.admitted for replica in live)
+            and all(replica.admitted for replica in running)
         )
 
     def check_nothing_lost(self) -> None:
-        """Raise where an accepted command is missing at a replica after healing."""
+        """Raise InvariantError if a replica lacks a committed command after healing."""
         for name in self.names:
-            held = {index: (kind, body) for index, kind, body in self.applied[name]}
-            for index, (kind, body) in self.accepted.items():
-                if kind != NOOP and held.get(index) != (kind, body):
-                    raise InvariantError(f"{name} lacks accepted {index}: {kind} {body}")
+            applied = {index: (kind, body) for index, kind, body in self.applied[name]}
+            for index, (kind, body) in self.committed_entries.items():
+                if kind != NOOP and applied.get(index) != (kind, body):
+                    raise InvariantError(f"{name} lacks committed entry {index}: {kind} {body}")
 
 
 def numbers(seed: int, count: int) -> Iterator[int]:
-    """Yield the numbers of one random schedule."""
+    """Yield the steps of one random schedule."""
     rng = random.Random(seed)
     for _ in range(count):
         yield rng.randrange(2**16)
 
 
 def run_schedule(
-    count: int, seed: int, steps: Iterator[int], kind: type[Replica] = Replica
+    count: int, seed: int, steps: Iterator[int], replica_class: type[Replica] = Replica
 ) -> ReplicaGroup:
-    """Found a group, run a schedule of faults, heal, and check that nothing is lost."""
-    group = ReplicaGroup(count, seed, kind)
+    """Run a schedule of faults on a new group, heal, and check that no command was lost."""
+    group = ReplicaGroup(count, seed, replica_class)
     group.heal(3_000)
     for number in steps:
         group.step(number)
--- a/siskinspoke/testing/running_site.py
+++ b/siskinspoke/testing/running_site.py
@@ -1,4 +1,4 @@
-"""A running test site behind the fault proxy, with the checks that must always hold."""
+"""A test site of real processes behind the fault proxy, with helpers for assertions."""
 
 from collections import Counter
 from contextlib import ExitStack
@@ -8,52 +8,52 @@
 import msgspec
 
 from siskinspoke.loadgen.client import Caller
-from siskinspoke.testing.fleet import EngineSpec, Fleet, wait_until
+from siskinspoke.testing.fleet import Fleet, ServerSpec, wait_until
 from siskinspoke.testing.proxy import Endpoint, FaultProxy
 from siskinspoke.testing.site import (
     DOMAINS,
     engine,
     plain_service,
-    proxied,
     site_document,
+    with_proxy_address,
     write_site,
-    write_views,
+    write_vm_overlays,
 )
 
-LOSABLE_SECONDS = 15.0
+MEMORY_RETURN_TIMEOUT_SECONDS = 15.0
 
 
 class RunningSite:
-    """Own a fleet and its proxy for one test."""
+    """The fleet and the fault proxy of one test."""
 
-    def __init__(self, fleet: Fleet, proxy: FaultProxy, specs: list[EngineSpec]):
+    def __init__(self, fleet: Fleet, proxy: FaultProxy, specs: list[ServerSpec]):
         self.fleet = fleet
         self.proxy = proxy
         self.specs = {spec.name: spec for spec in specs}
 
     @property
     def entries(self) -> list[tuple[str, int]]:
-        """Return the callers' addresses of all entry VMs."""
+        """Return the public addresses of all entry VMs."""
         return [(entry.host, entry.port) for entry in self.fleet.settings.entries]
 
     def entry_address(self, name: str) -> tuple[str, int]:
-        """Return the callers' address of one entry VM."""
+        """Return the public address of one entry VM."""
         entry = self.fleet.settings.entry(name)
         return entry.host, entry.port
 
     def caller(self, *names: str) -> Caller:
-        """Return a caller that the balancer sends to these entry VMs, or to all."""
+        """Return a caller that is load balanced over the named entry VMs, or over all."""
         chosen = [self.entry_address(name) for name in names] or self.entries
         return Caller(chosen)
 
     def server_state(self, name: str) -> dict:
-        """Return a stand-in's own record of what ran and what it holds."""
+        """Return the state document of a stand-in server."""
         spec = self.specs[name]
         response = httpx.get(f"http://{spec.host}:{spec.port}/v1/state", timeout=2, trust_env=False)
         return msgspec.json.decode(response.content)
 
     def ask_server(self, name: str, path: str, body: dict) -> dict:
-        """Send a stand-in one message."""
+        """Post a request to a stand-in server and return its answer."""
         spec = self.specs[name]
         response = httpx.post(
             f"http://{spec.host}:{spec.port}{path}", json=body, timeout=5, trust_env=False
@@ -61,12 +61,15 @@
         return msgspec.json.decode(response.content)
 
     def restart_server(self, name: str) -> None:
-        """Start a stand-in again under its old address."""
+        """Start a stopped stand-in server again at the same address."""
         self.fleet.start_server(self.specs[name])
         self.fleet.wait_listening(self.specs[name].host, self.specs[name].port)
 
     def runs_by_subject(self, *names: str) -> Counter:
-        """Return how often each keyed call ran, by the logs of the plain services."""
+        """Count the executions of each call with an idempotency key, from the services' run logs.
+
+        Keys of the counter are ``<customer>/<idempotency key>``.
+        """
         counts: Counter = Counter()
         for name in names:
             path = self.fleet.folder / f"{name}.runs"
@@ -75,14 +78,16 @@
         return counts
 
     def wait_memory_returned(self, *names: str) -> None:
-        """Wait until engines hold nothing; that is what 'no memory lost for good' means."""
+        """Wait until the engines have no allocated memory and no reservations: nothing leaked."""
 
-        def whole(name: str) -> bool:
+        def is_empty(name: str) -> bool:
             state = self.server_state(name)
             return state["free_tokens"] == state["total_tokens"] and not state["reservations"]
 
         for name in names:
-            wait_until(lambda name=name: whole(name), f"{name} is empty", LOSABLE_SECONDS)
+            wait_until(
+                lambda name=name: is_empty(name), f"{name} is empty", MEMORY_RETURN_TIMEOUT_SECONDS
+            )
 
 
 def start_running_site(
@@ -96,18 +101,18 @@
     mutant: str = "",
     **changes,
 ) -> RunningSite:
-    """Start a whole site in three failure domains behind a proxy; the stack owns it."""
+    """Start a site of three failure domains behind a fault proxy; ``stack`` closes both."""
     files = write_site(net, folder, **changes)
-    endpoints = write_views(folder, site_document(net, folder, **changes))
+    endpoints = write_vm_overlays(folder, site_document(net, folder, **changes))
     specs = [
-        proxied(engine(net, domain, number, *engine_flags))
+        with_proxy_address(engine(net, domain, number, *engine_flags))
         for domain in range(len(DOMAINS))
         for number in range(1, engines_per_domain + 1)
     ]
     for domain in range(services):
         name = plain_service(net, domain, 1).name
         flags = (*service_flags, f"--run_log={folder / name}.runs")
-        specs.append(proxied(plain_service(net, domain, 1, *flags)))
+        specs.append(with_proxy_address(plain_service(net, domain, 1, *flags)))
     endpoints += [Endpoint(spec.host, (spec.port,)) for spec in specs]
     proxy = stack.enter_context(FaultProxy(endpoints))
     fleet = stack.enter_context(Fleet(folder, files.base, files.overlay))
