--- a/siskinspoke/control/__init__.py
+++ b/siskinspoke/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control replica: durable, replicated state in few processes on VMs with a disk."""
+"""Control VMs: replicated state that is durable on disk, and the feed to entry VMs."""
--- a/siskinspoke/control/app.py
+++ b/siskinspoke/control/app.py
@@ -33,7 +33,7 @@
 
 
 class ControlState:
-    """What the HTTP side of a control replica needs."""
+    """The dependencies of a control replica's HTTP interface."""
 
     def __init__(self, me: ControlVM, settings: Settings, task: ReplicaTask, counters: Counters):
         self.me = me
@@ -50,7 +50,7 @@
 
     @app.before_request
     async def check_sender() -> Response | None:
-        """Let entry VMs in by the seal of the shared key, operators by theirs."""
+        """Authenticate entry VMs by the seal of the request and operators by their key."""
         path = request.full_path.rstrip("?")
         if seal_holds(
             state.settings.internal_key,
@@ -65,22 +65,24 @@
         if operator and request.path not in SEALED_PATHS:
             return None
         state.counters.count("refused.unauthenticated")
-        return failure_response(Failure(ResultCode.UNAUTHENTICATED, "wrong or missing seal"))
+        return failure_response(
+            Failure(ResultCode.UNAUTHENTICATED, "invalid or missing credentials")
+        )
 
     async def commit(kind: str, item) -> Response:
-        """Put a command into the log and return its answer, or why there is none."""
+        """Propose a command and return its answer, or the failure if it was not committed."""
         pending = await task.propose(kind, item, COMMIT_SECONDS)
         if not pending.leader:
             return not_leader()
         if pending.value is None:
             state.counters.count("refused.no_quorum")
-            message = "no majority confirmed the command in time; it may still be carried out"
+            message = "no majority confirmed the command in time; it may still be committed"
             return failure_response(Failure(ResultCode.NO_QUORUM, message, 1_000))
         answer = pending.value
         return json_response(answer._asdict() if kind in OPERATORS_KINDS else answer)
 
     def not_leader() -> Response:
-        document = Failure(ResultCode.NOT_LEADER, "another replica leads").to_document()
+        document = Failure(ResultCode.NOT_LEADER, "this replica is not the leader").to_document()
         document["leader"] = task.replica.leader
         return json_response(document, FACTS[ResultCode.NOT_LEADER].status)
 
@@ -118,7 +120,7 @@
         except msgspec.MsgspecError as error:
             return failure_response(Failure(ResultCode.NOT_JSON, str(error)))
         if order.action not in ACTIONS:
-            message = f"action: use one of {', '.join(sorted(ACTIONS))}"
+            message = f"action must be one of {', '.join(sorted(ACTIONS))}"
             return failure_response(Failure(ResultCode.INVALID_FIELD, message))
         return await commit(ORDER, order)
 
@@ -126,12 +128,14 @@
     async def order_state(name: str) -> Response:
         found = task.machine.orders.find(name)
         if found is None:
-            return failure_response(Failure(ResultCode.UNKNOWN_PATH, "no such order here"))
+            return failure_response(
+                Failure(ResultCode.UNKNOWN_PATH, "this replica has no such order")
+            )
         return json_response(found._asdict())
 
     @app.get("/v1/configuration")
     async def configuration() -> Response:
-        """Return what is newer than ``after``, waiting ``wait_ms`` for it to come."""
+        """Return the changes after version ``after``, waiting up to ``wait_ms`` for one."""
         after = int(request.args.get("after", "0"))
         wait_ms = min(MAX_WAIT_MS, int(request.args.get("wait_ms", "0")))
         name = request.args.get("entry", "")
@@ -151,12 +155,12 @@
 
 
 async def _read(kind: type):
-    """Decode the sealed body of one of our own processes."""
+    """Decode a request body sent by another process of the system."""
     return msgspec.json.decode(await request.get_data(), type=kind)
 
 
 def control_status(state: ControlState) -> dict:
-    """Return what this replica believes."""
+    """Return the status document of this replica."""
     replica, machine = state.task.replica, state.task.machine
     now = trio.current_time()
     return {
--- a/siskinspoke/control/daemon.py
+++ b/siskinspoke/control/daemon.py
@@ -1,4 +1,4 @@
-"""Compose a control replica and run it until it is told to stop."""
+"""Run a control replica with the members listed in its settings."""
 
 import random
 import signal
@@ -28,7 +28,7 @@
 
 
 async def run_control(settings: Settings, name: str) -> None:
-    """Run the control replica of that name until SIGTERM."""
+    """Run the control replica called ``name`` until SIGTERM or SIGINT."""
     me = settings.control_vm(name)
     counters = counters_for(name, settings.statsd_host, settings.statsd_port)
     opened = open_store(me.data_folder, name)
@@ -69,7 +69,7 @@
         nursery.start_soon(orders.run)
         app = control_app(ControlState(me, settings, task, counters))
         await nursery.start(serve, HttpServer(app, me.host, me.port, GRACEFUL_SECONDS), shutdown)
-        logger.info("control replica {} serves on {}:{}", name, me.host, me.port)
+        logger.info("control replica {} listening on {}:{}", name, me.host, me.port)
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
--- a/siskinspoke/control/feed_hub.py
+++ b/siskinspoke/control/feed_hub.py
@@ -1,4 +1,4 @@
-"""The hub of a control VM: it tells every follower what this VM knows, as it learns it."""
+"""The feed server of a control VM: pushes its state, and each change, to all followers."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -30,41 +30,41 @@
 from siskinspoke.transport.frames import frame_of, frames_from, open_frame, send_frames
 from siskinspoke.transport.sockets import tune
 
-# Followers answer each flush; one that has missed three is dropped, so that a confirmation waits
-# for it no longer.
+# Followers answer each batch of renewals. One that has not answered for three intervals is dropped,
+# so that confirmations no longer wait for it.
 SILENT_SECONDS = 1.5
-# Renewals are gathered for this long: a third of the usual time between announcements.
+# How long renewals are batched: a third of the usual announcement interval.
 FLUSH_SECONDS = 0.45
-# A roster is said again after this time: followers forget whom nobody names.
+# Rosters are repeated because followers drop VMs that no recent roster lists.
 ROSTER_SECONDS = 5.0
-# Followers that come together, as after a loss of all VMs, are named together.
+# Followers that connect together, as after a restart of all VMs, share one roster.
 JOINS_SECONDS = 0.05
-# Servers that come are told of together: each message costs a hub a write for every follower.
+# New servers are announced in batches, because each message takes a write for every follower.
 ARRIVALS_SECONDS = 0.1
 OUTBOX_FRAMES = 1_024
-# Every entry VM hears the renewals of a service with up to so many servers, wherever they are.  Of
-# a larger one, in a fleet that is parted into cells, it hears those of its own failure domain,
-# which are all that its books hold.
+# Every entry VM receives the renewals of services with at most this many servers. If the fleet is
+# divided into cells, it receives those of larger services for its own failure domain only, because
+# it tracks no other servers of theirs.
 FEW_SERVERS = 24
-# Each hub gives the one before it this time to bring a follower a configuration: a crossing and
-# what 100 KB take on a small VM's link.  With six hubs, five of them lost, the last has its turn
-# after 0.75 s, where a change must be in force within 2 s.
+# Hubs send a configuration to a follower one after another, this far apart: the network latency and
+# the transfer of 100 KB on a small VM's link. If five of six hubs are down, the last one sends
+# after 0.75 s; a change must be in force within 2 s.
 TURN_SECONDS = 0.15
 LAST_TURN_SECONDS = 0.75
 
 
 class Held(NamedTuple):
-    """A configuration and its number."""
+    """A configuration and its version; ``document`` is None if there is none."""
 
     version: int
     document: dict | None
 
 
 class Session:
-    """One follower's connection.
+    """The connection of one follower.
 
-    ``version`` is the configuration that the follower is known to have, ``brought`` the last one
-    that was sent to it here.
+    ``version`` is the latest version that the follower has confirmed, ``brought`` the latest one
+    sent over this connection.
     """
 
     def __init__(self, follow: Follow):
@@ -78,7 +78,7 @@
 
 
 class FeedHub:
-    """Own the followers' connections."""
+    """Accept followers' connections and send them announcements, configurations and rosters."""
 
     def __init__(
         self,
@@ -110,11 +110,11 @@
         self._published: tuple[int, bytes] = (0, b"")
         self._untold: list[Announcement] = []
         self._arrivals = trio.Event()
-        # A control VM sends no requests, so it has nothing of its own to tell of crashes.
+        # A control VM sends no requests to servers, so it has no crash reports of its own.
         self._crashes = CrashWatch(lambda news: None, counters, log)
 
     async def serve(self, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Serve followers forever."""
+        """Serve followers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._flush_forever)
             nursery.start_soon(self._tell_joins_forever)
@@ -153,7 +153,7 @@
             self._end(session)
 
     async def _read(self, session: Session, stream: trio.SocketStream) -> None:
-        """Take in receipts until the follower goes or is silent."""
+        """Process a follower's messages until it disconnects or times out."""
         try:
             async for frame in frames_from(stream, SILENT_SECONDS):
                 opened = open_frame(self._key, frame)
@@ -183,7 +183,7 @@
             session.scope.cancel()
 
     def _begin(self, session: Session) -> None:
-        """Tell a new follower everything, also which servers have left."""
+        """Send the whole state to a new follower, including servers that have left."""
         self._sessions.add(session)
         follow = session.follow
         if follow.peer_port:
@@ -222,7 +222,7 @@
         self._send_frame(session, frame_of(self._key, item))
 
     def _send_frame(self, session: Session, frame: bytes) -> None:
-        """Queue a frame; a follower whose queue is full must begin anew, or it would miss news."""
+        """Queue a frame; if the queue is full, disconnect the follower so that it resyncs."""
         try:
             session.outbox.send_nowait(frame)
         except (trio.WouldBlock, trio.BrokenResourceError):
@@ -236,26 +236,26 @@
 
     def _current_roster(self) -> Roster:
         entries = self._entries.named(trio.current_time())
-        # A control VM that follows this one may be too new to be a member.
+        # A control VM that follows this one may not be a member of the group yet.
         newcomers = {item.follow.host for item in self._sessions if not item.follow.peer_port}
         return Roster(sorted(newcomers.union(self._controls())), sorted(entries))
 
     @property
     def entries(self) -> KnownEntries:
-        """Return which entry VMs are known."""
+        """Return the known entry VMs."""
         return self._entries
 
     def publish(self, version: int, document: dict) -> None:
-        """Tell all followers of a configuration."""
+        """Send a configuration to all followers that lack it."""
         for session in list(self._sessions):
             self._offer(session, Held(version, document))
 
     def _offer(self, session: Session, held: Held) -> None:
-        """Send a configuration to a follower when it is this hub's turn, unless it has it by then.
+        """Send a configuration after this hub's delay, unless the follower has it by then.
 
-        A configuration may have 100 KB, and each hub tells each follower: of 88 entry VMs with
-        links of 10 Mbit/s each would get six copies of every change, half a second of its link.
-        A follower without any is waited for by callers, and gets it from all at once.
+        If six hubs sent a configuration of 100 KB at once, the copies would fill a follower's
+        10 Mbit/s link for half a second at every change. A follower without a configuration cannot
+        serve its callers, so all hubs send to it at once.
         """
         if session.version >= held.version:
             return
@@ -267,9 +267,10 @@
         session.nursery.start_soon(self._bring_later, session, seconds)
 
     async def _bring_later(self, session: Session, seconds: float) -> None:
-        """Send the newest configuration after a time, if the follower still lacks it.
+        """Send the newest configuration after a delay, if the follower still lacks it.
 
-        Not the one that was new before: in a storm of changes each would be overtaken in turn.
+        The newest is read after the delay: in a series of changes, each configuration is replaced
+        by the next one before its delay ends.
         """
         await trio.sleep(seconds)
         self._bring(session, self._held())
@@ -281,7 +282,7 @@
         self._send_frame(session, self._publication(held))
 
     def _publication(self, held: Held) -> bytes:
-        """Return the frame of a configuration, made once for all followers."""
+        """Return the frame of a configuration, encoded once for all followers."""
         version, frame = self._published
         if version != held.version:
             frame = frame_of(self._key, Publication(held.version, held.document))
@@ -289,19 +290,20 @@
         return frame
 
     def _turn(self, follow: Follow) -> int:
-        """Return how many hubs come before this one for a follower; all hubs agree on it.
+        """Return this hub's rank in the order in which hubs send to a follower.
 
-        Those of its own failure domain come first: of 195 copies of a configuration that rendezvous
-        hashing alone spreads over five domains, 156 cross from one to another.
+        All hubs compute the same order. Hubs in the follower's own failure domain come first: with
+        rendezvous hashing alone over five domains, 156 of 195 copies of a configuration cross
+        between domains.
         """
         ranked = rendezvous_order(follow.host, self._controls())
         ranked.sort(key=lambda host: self._control_domains.get(host) != follow.failure_domain)
         return ranked.index(self._host) if self._host in ranked else len(ranked)
 
     def tell(self, announcements: list[Announcement]) -> int:
-        """Tell all followers something new; return the number that they will confirm.
+        """Send announcements to all followers; return the number that they will confirm.
 
-        What waits to be told goes first: a leave must not overtake its server's own arrival.
+        Queued announcements are sent first, so that a server's leave cannot overtake its join.
         """
         told, self._untold = [*self._untold, *announcements], []
         self._number += 1
@@ -309,9 +311,9 @@
         return self._number
 
     def tell_soon(self, announcements: list[Announcement]) -> None:
-        """Tell all followers of servers that have come, together with those that come just then.
+        """Queue announcements of new servers, to be sent to all followers in one batch.
 
-        Nobody waits for it, and after a loss of all VMs all servers come at once.
+        No caller waits for them, and after a restart of all VMs all servers register at once.
         """
         self._untold += announcements
         self._arrivals.set()
@@ -325,11 +327,11 @@
                 self.tell([])
 
     def recall(self, announcements: list[Announcement]) -> None:
-        """Tell all followers which servers this VM knew before its restart."""
+        """Send the servers that this VM has restored from disk to all followers."""
         self._send_all(Remembered(announcements))
 
     def hear_crashes(self, news: CrashNews, teller: Session | None = None) -> None:
-        """Take in what a VM has learned of crashes, and tell all others what of it is news."""
+        """Apply a VM's crash reports and forward those that are new to all other followers."""
         fresh = self._crashes.hear(news, _now_ms())
         if not any(fresh):
             return
@@ -338,16 +340,16 @@
             self._send_frame(session, frame)
 
     def renew(self, announcement: Announcement) -> None:
-        """Tell all followers soon that a server has spoken again."""
+        """Add a server to the next batch of renewals."""
         self._renewed[announcement.server] = announcement
 
     @property
     def followers(self) -> int:
-        """Return how many followers there are."""
+        """Return the number of connected followers."""
         return len(self._sessions)
 
     async def confirmed(self, number: int, seconds: float) -> int:
-        """Wait a bounded time until all followers have confirmed; return how many have not."""
+        """Wait up to ``seconds`` for all followers to confirm; return how many have not."""
         with trio.move_on_after(seconds):
             while self._missing(number):
                 await self._confirmation.wait()
@@ -357,7 +359,7 @@
         return sum(session.confirmed < number for session in self._sessions)
 
     async def _flush_forever(self) -> None:
-        """Send renewals together, and a sign of life where there is nothing to say."""
+        """Send batched renewals, or an empty batch as a heartbeat, and expire old state."""
         told_at = 0.0
         while True:
             await trio.sleep(FLUSH_SECONDS)
@@ -370,7 +372,7 @@
             self._counters.gauge("feed.followers", len(self._sessions))
 
     async def _tell_joins_forever(self) -> None:
-        """Name new followers to the others soon: they choose engines by what each other tell."""
+        """Send the roster soon after a join: entry VMs choose engines by their peers' reports."""
         while True:
             await self._joins.wait()
             await trio.sleep(JOINS_SECONDS)
@@ -378,7 +380,7 @@
             self._tell_roster(due=False)
 
     def _tell_roster(self, due: bool) -> bool:
-        """Send the roster to all where it has changed or is due; return whether it was sent."""
+        """Send the roster to all followers if it changed or is due; return whether it was sent."""
         roster = self._current_roster()
         if roster == self._last_roster and not due:
             return False
@@ -387,20 +389,20 @@
         return True
 
     def _send_renewals(self) -> None:
-        """Tell each follower who has spoken again of those that it needs to know of."""
+        """Send each follower the renewals of the servers that it tracks."""
         renewed, self._renewed = list(self._renewed.values()), {}
         large = self._large_services()
         frames: dict[str | None, bytes] = {}
         for session in list(self._sessions):
             follow = session.follow
-            # Control VMs pass on what they know to their own followers, so they hear all.
+            # Control VMs forward renewals to their own followers, so they receive all.
             domain = follow.failure_domain if follow.peer_port and large else None
             if domain not in frames:
                 frames[domain] = frame_of(self._key, _renewals_for(domain, renewed, large))
             self._send_frame(session, frames[domain])
 
     def _large_services(self) -> set[str]:
-        """Return the services whose servers are known by failure domain only."""
+        """Return the services whose renewals are sent only within the failure domain."""
         entries = sum(bool(session.follow.peer_port) for session in self._sessions)
         if entries <= MOST_VMS:
             return set()
@@ -417,7 +419,7 @@
 
 
 def _renewals_for(domain: str | None, renewed: list[Announcement], large: set[str]) -> Renewals:
-    """Return what followers of a failure domain hear, or those that hear all."""
+    """Return the renewals for followers in a failure domain, or all if ``domain`` is None."""
     return Renewals(
         [
             (said.server, said.incarnation, said.seq)
--- a/siskinspoke/control/group_daemon.py
+++ b/siskinspoke/control/group_daemon.py
@@ -1,4 +1,4 @@
-"""Run a control VM that finds its group through seeds: replica, registry and feed."""
+"""Run a control VM that discovers its group through seeds: replica, registry and feed."""
 
 import random
 import signal
@@ -34,28 +34,29 @@
 if TYPE_CHECKING:
     from siskinspoke.transport.calls import Bounds, Call, Reply
 
-# A disk of a small VM may take 0.15 s for a sync; a leader whose heartbeats wait behind a few
-# such syncs must not be deposed.
+# A small VM's disk may take 0.15 s for a sync; a leader whose heartbeats are delayed by a few such
+# syncs must not be deposed.
 HEARTBEAT_MS = 100.0
 ELECTION_MS = 600.0
-# Journal entries before a snapshot.  Each holds a whole configuration, which takes several times
-# its size in memory.
+# Journal entries between snapshots. Each holds a whole configuration, which takes several times its
+# size in memory.
 SNAPSHOT_ENTRIES = 24
-# Announcements come every 1.2 s; four of them may be lost.
+# Servers announce themselves every 1.2 s; a lease allows for the loss of four announcements.
 LEASES_PER_ANNOUNCEMENT = 4
 DISK_PAUSE_SECONDS = 0.5
 KEEP_LINKS_SECONDS = 2.0
-# Servers come and go in series; their list is written at most this often.
+# Servers join and leave in bursts; the lists are written at most this often.
 KEEP_LISTS_SECONDS = 0.5
-# Entry VMs look for control VMs every 0.2 s and need one exchange.
+# Entry VMs retry connections to control VMs every 0.2 s and need one round trip.
 FOLLOWERS_FIRST_SECONDS = 0.25
-# After its start a control VM calls so often, this long apart, whoever does not follow it yet.
+# How often, and at which interval, a control VM that has started notifies entry VMs that do not
+# follow it yet.
 CALLS = 12
 CALL_SECONDS = 0.1
 
 
 class ControlParts(NamedTuple):
-    """What the HTTP side of a control VM needs."""
+    """The dependencies of a control VM's HTTP interface."""
 
     registry: Registry
     counters: Counters
@@ -64,7 +65,7 @@
 
 
 class App(Protocol):
-    """What answers the calls of operators and servers."""
+    """The handler of calls from operators and servers."""
 
     async def answer(self, call: "Call") -> "Reply":
         """Answer one call."""
@@ -74,7 +75,7 @@
 
 
 class GroupDaemon:
-    """Wire a control VM together; each part owns its sockets and state."""
+    """Create and run the components of a control VM; each owns its sockets and state."""
 
     def __init__(self, read_settings: Callable[[], VmSettings], log: DecisionLog):
         self._watch = SettingsWatch(read_settings, self._take_seeds, log)
@@ -120,12 +121,12 @@
         )
 
     def _control_hosts(self) -> list[str]:
-        """Return the hosts of the control VMs that this one knows to take part."""
+        """Return the hosts of the group's members as this VM knows them, and its own."""
         members = set(self._replica.members) if self._replica is not None else set()
         return sorted(members | {self._watch.settings.host})
 
     async def run(self, load_app: Callable[[], AppFactory], metrics_port: int) -> None:
-        """Serve until SIGTERM."""
+        """Serve until SIGTERM or SIGINT."""
         settings = self._watch.settings
         parts = ControlParts(self.registry, self._counters, self._latencies, self._log)
         self._recall_servers()
@@ -155,10 +156,10 @@
     async def _serve_calls(
         self, load_app: Callable[[], AppFactory], parts: ControlParts, metrics_port: int
     ) -> None:
-        """Serve operators, announcements and metrics, once followers have had their first word.
+        """Serve operators, announcements and metrics, after followers have had time to connect.
 
-        After a loss of all VMs, callers are served again as soon as entry VMs have a configuration.
-        What it takes to speak HTTP is loaded here for the same reason.
+        After a restart of all VMs, callers are served again as soon as entry VMs have a
+        configuration. The HTTP modules are imported here so that they do not delay that.
         """
         await trio.sleep(FOLLOWERS_FIRST_SECONDS)
         from siskinspoke.transport.calls import serve_calls
@@ -175,7 +176,7 @@
             self._log.note("operators.open", port=address.port)
 
     async def _until_told_to_stop(self) -> None:
-        """Wait for SIGTERM; SIGHUP, which would end the process, means changed settings."""
+        """Wait for SIGTERM or SIGINT; reload the settings on SIGHUP."""
         told = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         with trio.open_signal_receiver(*told) as signals:
             async for number in signals:
@@ -194,7 +195,7 @@
             await self._task.hear(item)
 
     async def _keep_up(self, links: LinkSet) -> None:
-        """Follow changed seeds, and close links to control VMs that are gone."""
+        """Reload changed settings and close the links to control VMs that have been removed."""
         while True:
             await trio.sleep(KEEP_LINKS_SECONDS)
             self._watch.look()
@@ -206,7 +207,7 @@
             self._replica.set_contacts(seeds)
 
     def _recall_servers(self) -> None:
-        """Take the servers that this VM knew before it was restarted, for a short time."""
+        """Restore the servers that were known before the restart, for a limited time."""
         read = load_servers(Path(self._watch.settings.data_folder))
         if read.is_error():
             self._log.note("servers.not_recalled", reason=read.error.message)
@@ -216,7 +217,7 @@
         self.registry.hear_remembered(read.ok.announcements)
 
     def _recall_entries(self) -> None:
-        """Take the entry VMs that followed this VM before it was restarted."""
+        """Restore the entry VMs that followed this VM before the restart."""
         read = load_entries(Path(self._watch.settings.data_folder))
         if read.is_error():
             self._log.note("entries.not_recalled", reason=read.error.message)
@@ -225,9 +226,9 @@
         self._log.note("entries.recalled", entries=len(read.ok))
 
     async def _call_entries(self) -> None:
-        """Tell the entry VMs that followed before that this VM is up.
+        """Notify the entry VMs that followed this VM before its restart that it is up.
 
-        They know the seeds alone after a loss of all, and the seeds may be the last to be back.
+        After a restart of all VMs they know only the seeds, which may be the last to come up.
         """
         settings = self._watch.settings
         port = await open_datagram_port(
@@ -241,7 +242,7 @@
         await trio.sleep_forever()
 
     async def _keep_lists(self) -> None:
-        """Write down which servers and entry VMs are known, whenever some have come or left."""
+        """Save the known servers and entry VMs whenever they change."""
         servers, entries = self._directory.changes, self._hub.entries.kept(trio.current_time())
         while True:
             await trio.sleep(KEEP_LISTS_SECONDS)
@@ -258,14 +259,14 @@
             folder = Path(self._watch.settings.data_folder)
             await trio.to_thread.run_sync(save, folder, items)
         except FailureError as error:
-            # Nothing depends on the file; the replica finds out about the disk by itself.
+            # Nothing depends on this file, and the replica detects a failed disk by itself.
             self._log.note("list.not_kept", reason=str(error))
 
     async def _run_replicas(self, links: LinkSet) -> None:
-        """Run a replica for as long as its disk keeps its word, then begin anew from the disk.
+        """Run a replica until a disk write fails, then start another one from the disk.
 
-        After a refused write nobody knows what the disk holds, so the replica may promise
-        nothing more; announcements and the feed need no disk and go on.
+        After a failed write the contents of the disk are unknown, so the replica must not
+        acknowledge anything more. Announcements and the feed need no disk and continue.
         """
         while True:
             failures = []
@@ -316,7 +317,7 @@
             nursery.start_soon(task.run)
 
     async def _tell_versions(self, task: ReplicaTask) -> None:
-        """Publish each configuration as this replica learns that it is accepted."""
+        """Publish each configuration to the followers once this replica has applied it."""
         told = 0
         while True:
             await task.wait_for_version(told, 3600)
@@ -327,7 +328,7 @@
                 self._hub.publish(told, machine.document)
 
     async def _note_roles(self, replica: Replica) -> None:
-        """Log what this replica is and who the members are, when either changes."""
+        """Log the replica's role, term, leader and members whenever they change."""
         seen = None
         while True:
             state = (replica.role.value, replica.term, replica.leader, sorted(replica.members))
--- a/siskinspoke/control/order_task.py
+++ b/siskinspoke/control/order_task.py
@@ -1,4 +1,4 @@
-"""The task of a leading replica that carries orders to engines."""
+"""The task of the leader that sends orders to engines."""
 
 import httpx
 import msgspec
@@ -23,7 +23,7 @@
 
 
 class OrderTask:
-    """Send pending orders while this replica leads, and record how they end."""
+    """Send pending orders while this replica is the leader, and record their results."""
 
     def __init__(
         self, task: ReplicaTask, counters: Counters, concurrent_loads: int, local_host: str
@@ -34,7 +34,7 @@
         self._client = make_client(keep_alive=False, local_host=local_host)
 
     async def run(self) -> None:
-        """Look for orders forever."""
+        """Poll for pending orders until cancelled."""
         async with self._client, trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(LOOK_SECONDS)
@@ -45,7 +45,7 @@
                     nursery.start_soon(self._carry_out, record)
 
     async def _carry_out(self, record: OrderRecord) -> None:
-        """Send one order, under a time limit, and record its end if it is known."""
+        """Send one order, with a timeout, and record its result if it is known."""
         try:
             end = await self._send(record)
             if end is None and wall_ms() - record.given_ms > ORDER_LIFE_MS:
@@ -57,7 +57,7 @@
             self._gate.landed(record.number)
 
     async def _send(self, record: OrderRecord) -> OrderEnd | None:
-        """Send an order; None where its fate is not known and it must be sent again."""
+        """Send an order; return None if the outcome is unknown and it must be sent again."""
         request = record.request
         url = f"http://{request.host}:{request.port}/v1/orders"
         body = {
--- a/siskinspoke/control/registry.py
+++ b/siskinspoke/control/registry.py
@@ -1,8 +1,8 @@
 """The registry of a control VM: announcements of backend servers, and the configuration.
 
-It answers for two promises.  A leave is confirmed only after those VMs that can hear of it
-have; a configuration is accepted only once a majority has it on disk, and is read only by
-who knows that there is no newer one.
+It gives two guarantees. A leave is confirmed only after all VMs that can be reached have
+received it. A configuration is accepted only once a majority has it on disk, and is read only from
+a replica that knows that there is no newer one.
 """
 
 import math
@@ -19,23 +19,23 @@
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.protocol.announcements import Announcement
 
-# A caller tries another VM after a second without an answer; these leave it room.
+# Clients try another VM after 1 s without an answer, so these timeouts are shorter.
 LEAVE_SECONDS = 0.4
 PUBLISH_SECONDS = 0.9
 READ_SECONDS = 0.7
-# Another program may announce without end; one line in this time, in milliseconds, is enough.
+# Minimum interval between log lines for refused announcements, which may arrive without end.
 REFUSED_EVERY_MS = 1_000.0
 
 
 class Published(NamedTuple):
-    """Whether a configuration is accepted; ``version`` is the one in force."""
+    """The result of a publish: whether it is known to be accepted, and the version in force."""
 
     known: bool
     version: int
 
 
 class Registry:
-    """Take in announcements and configurations, and tell the followers."""
+    """Process announcements and configurations and send the changes to followers."""
 
     def __init__(self, directory: Directory, counters: Counters, log: DecisionLog):
         self._directory = directory
@@ -46,11 +46,11 @@
         self._refused_at = -math.inf
 
     def attach(self, hub: FeedHub) -> None:
-        """Connect the hub that tells the followers."""
+        """Set the hub that sends changes to followers."""
         self._hub = hub
 
     def serve_with(self, task: ReplicaTask | None) -> None:
-        """Take the replica whose disk works now, or none."""
+        """Set the running replica, or None while there is none."""
         self._task = task
 
     @property
@@ -67,13 +67,13 @@
         return record.announcement if record is not None else None
 
     def fault_of(self, announcement: Announcement, services: Set[str] | None) -> Failure | None:
-        """Return why an announcement is not believed; ``services`` are those in force, if any."""
+        """Return why an announcement is refused, or None; ``services`` are those in force."""
         known = self.known(announcement.server)
         fault = fault_of(announcement, known, services)
         return None if fault is None else Failure(ResultCode.INVALID_FIELD, fault.value)
 
     def refuse(self, server: str, fault: Failure) -> None:
-        """Count a word that names no server, and write down some of them."""
+        """Count a refused announcement and log it, subject to a rate limit."""
         self._counters.count("announcement.refused")
         now = now_ms()
         if now - self._refused_at < REFUSED_EVERY_MS:
@@ -82,7 +82,7 @@
         self._log.note("server.refused", server=server[:100], reason=fault.message[:300])
 
     async def announce(self, announcement: Announcement) -> bool:
-        """Take in one announcement; return whether it may be confirmed to its sender."""
+        """Process an announcement; return whether it may be confirmed to its sender."""
         heard = self._directory.hear(announcement, now_ms())
         self._counters.count(f"announcement.{heard.value}")
         if announcement.leaving:
@@ -95,10 +95,10 @@
         return True
 
     async def _spread_leave(self, announcement: Announcement, heard: Heard) -> bool:
-        """Tell the followers of a leave, each time that it is said, and wait for them.
+        """Send a leave, also a repeated one, to all followers and wait for their receipts.
 
-        The server stops a bounded time after the confirmation.  If this VM died between the
-        two, a follower that had not heard would go on sending to a server that is gone.
+        The server stops within a bounded time after the confirmation. If this VM crashed in
+        between, a follower without the leave would keep sending to a stopped server.
         """
         number = self._hub.tell([announcement])
         missing = await self._hub.confirmed(number, LEAVE_SECONDS)
@@ -107,7 +107,7 @@
         return followers > missing
 
     def hear_others(self, announcements: list[Announcement]) -> None:
-        """Take in what another control VM has heard, and pass on what is new."""
+        """Process announcements received from another control VM and forward the new ones."""
         fresh, has_left = [], False
         for announcement in announcements:
             heard = self._directory.hear(announcement, now_ms())
@@ -121,7 +121,7 @@
             self._hub.tell_soon(fresh)
 
     def hear_remembered(self, announcements: list[Announcement]) -> None:
-        """Take in which servers a VM knew before its restart, and pass on what is new."""
+        """Restore servers that a VM knew before its restart and forward the new ones."""
         now = now_ms()
         new = [item for item in announcements if self._directory.remember(item, now)]
         self._log.note("servers.remembered", told=len(announcements), new=len(new))
@@ -129,7 +129,7 @@
             self._hub.recall(new)
 
     def hear_renewals(self, items: list[tuple[str, int, int]]) -> None:
-        """Take in which servers another control VM has heard again."""
+        """Renew the servers whose announcements another control VM has received."""
         for server, incarnation, seq in items:
             self._directory.renew(server, incarnation, seq, now_ms())
 
@@ -146,7 +146,7 @@
         )
 
     async def publish(self, version: int, document: dict) -> Published:
-        """Have a checked configuration accepted by a majority."""
+        """Replicate a validated configuration and wait until a majority has it."""
         if self._task is None:
             return Published(False, 0)
         pending = await self._task.ask(PUBLISH, PublishRequest(version, document), PUBLISH_SECONDS)
@@ -165,7 +165,7 @@
         return Published(known, self.held.version)
 
     async def read(self) -> Held | None:
-        """Return the newest configuration, or None where this VM cannot be sure."""
+        """Return the newest configuration, or None if this VM cannot confirm that it is."""
         if self._task is None or not await self._task.read_newest(READ_SECONDS):
             self._counters.count("read.unsure")
             return None
--- a/siskinspoke/control/replica_events.py
+++ b/siskinspoke/control/replica_events.py
@@ -9,7 +9,7 @@
 
 @dataclass
 class Pending:
-    """An answer to come; None means that its fate is not known here."""
+    """A future answer; a ``value`` of None means that the outcome is unknown."""
 
     done: trio.Event = field(default_factory=trio.Event)
     value: Any = None
@@ -17,7 +17,7 @@
     then: Callable[["Pending"], None] | None = None
 
     def resolve(self, value: Any, leader: bool = True) -> None:
-        """Give the answer once."""
+        """Set the answer and notify the waiters; later calls have no effect."""
         if not self.done.is_set():
             self.value, self.leader = value, leader
             self.done.set()
@@ -26,7 +26,7 @@
 
 
 class Proposal(NamedTuple):
-    """A command for the log, and where its answer goes."""
+    """A command for the log, and the pending answer to it."""
 
     kind: str
     request: NamedTuple
@@ -34,7 +34,7 @@
 
 
 class Read(NamedTuple):
-    """The wish to know the newest that is committed; the answer is its index."""
+    """A request for the index of the last committed entry."""
 
     answer: Pending
 
@@ -51,7 +51,7 @@
 
 
 class PendingEntry(NamedTuple):
-    """An entry that this leader has appended, its proposal, and all who wait for its commit."""
+    """An entry appended by this leader, its proposal, and the answers that await its commit."""
 
     term: int
     proposal: Proposal
@@ -59,4 +59,4 @@
 
 
 class HandOver(NamedTuple):
-    """The owner is about to stop."""
+    """A request to transfer leadership before a shutdown."""
--- a/siskinspoke/control/replica_task.py
+++ b/siskinspoke/control/replica_task.py
@@ -34,25 +34,25 @@
 
 
 def now_ms() -> float:
-    """Return the clock since boot in milliseconds, the time of a suspension included.
+    """Return the time since boot in milliseconds, including time in suspension.
 
-    The monotonic clock stands still while a VM is suspended.  A leader that wakes up would
-    believe in a lease that has long run out.
+    The monotonic clock stops while a VM is suspended. With it, a resumed leader would consider an
+    expired lease valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 def wall_ms() -> int:
-    """Return the wall clock in milliseconds, for stamps in the log."""
+    """Return the wall-clock time in milliseconds, for timestamps in log entries."""
     return time.time_ns() // 1_000_000
 
 
 def _say_nothing(template: str, *args: object) -> None:
-    """Leave a line out: whoever runs the task writes the same down in another way."""
+    """Discard a log line, for owners that log the same events themselves."""
 
 
 class ReplicaTask:
-    """Owns the replica and its replicated state machine."""
+    """Run a replica and its state machine."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether this replica believes that it leads."""
+        """Whether this replica considers itself the leader."""
         return self.replica.role is Role.LEADER
 
     @property
@@ -104,11 +104,11 @@
         return self._since_ms
 
     async def hear(self, item: Any) -> None:
-        """Take in one message of another replica."""
+        """Queue a message from another replica."""
         self._send.send_nowait(item)
 
     async def propose(self, kind: str, request: NamedTuple, seconds: float) -> Pending:
-        """Put a command into the log and wait a bounded time for its answer."""
+        """Propose a command if this replica leads; wait up to ``seconds`` for the answer."""
         pending = Pending()
         if not self.leads:
             pending.resolve(None, leader=False)
@@ -119,9 +119,9 @@
         return pending
 
     async def ask(self, kind: str, request: Any, seconds: float) -> Pending:
-        """Have the leader, wherever it is, carry out a command or a read (READ), and wait.
+        """Have the leader, local or remote, process a command or a READ; wait up to ``seconds``.
 
-        A configuration that is already accepted here is answered without the leader.
+        A configuration that this replica knows to be committed is answered without the leader.
         """
         pending = Pending()
         if kind == PUBLISH and self._answer_accepted_publish(request, pending):
@@ -149,24 +149,23 @@
         return pending
 
     async def read_newest(self, seconds: float) -> bool:
-        """Wait until this replica holds all that anybody was told before; False if unsure.
+        """Wait until a local read is linearizable; return False if that cannot be confirmed.
 
-        The leader confirms by a majority that it still leads.  A replica that is cut off, or
-        has been frozen, would otherwise answer with what was newest long ago.
+        The leader confirms with a majority that it is still the leader. Otherwise a replica that is
+        partitioned, or was suspended, would return outdated state.
         """
         with trio.move_on_after(seconds):
             pending = await self.ask(READ, None, seconds)
             if pending.value is None:
                 return False
-            # This replica may not have received all that is committed, and until it has, the
-            # state here is an older one.
+            # This replica may not have applied all committed entries yet.
             while self._applied < pending.value:
                 await self._progress.wait()
             return True
         return False
 
     async def hand_over(self) -> None:
-        """Give leadership away before a shutdown, and wait a bounded time for a successor."""
+        """Transfer leadership before a shutdown and wait a bounded time for a successor."""
         if not self.leads:
             return
         self._send.send_nowait(HandOver())
@@ -175,7 +174,7 @@
                 await trio.sleep(0.02)
 
     async def wait_for_version(self, after: int, seconds: float) -> None:
-        """Wait a bounded time for a configuration newer than ``after``."""
+        """Wait up to ``seconds`` for a configuration newer than version ``after``."""
         with trio.move_on_after(seconds):
             while self.machine.version <= after:
                 await self._changed.wait()
@@ -183,8 +182,8 @@
     async def run(self) -> None:
         """Process events until cancelled, while a separate task writes to the disk.
 
-        A disk that refuses a write raises through here and ends the process: a replica that
-        cannot keep its word must not give it.
+        A failed disk write raises from here: a replica must not acknowledge what it cannot make
+        durable.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._writer.run)
@@ -236,7 +235,7 @@
             self._answer_reads()
 
     def _take_forward(self, forward: Forward, now: float) -> None:
-        """Carry out what a follower's caller wants, and answer the follower."""
+        """Process a command or read that a follower has forwarded, and answer the follower."""
 
         def answer(pending: Pending) -> None:
             known = pending.value is not None
@@ -261,7 +260,7 @@
             self.replica.beat_now(now)
 
     def _answer_reads(self) -> None:
-        """Answer readers for whom a majority has confirmed this leader since they asked."""
+        """Answer the reads since whose start a majority has confirmed this leader."""
         waiting = []
         for read in self._reads:
             if not self.replica.may_read():
@@ -273,7 +272,7 @@
         self._reads = waiting
 
     async def _next_events(self) -> list[Any]:
-        """Return all events that are there, waiting until the next tick at most."""
+        """Return all queued events; wait for one until the replica's next tick at most."""
         events: list[Any] = []
         with trio.move_on_after(max(0.0, self.replica.next_wake() - self._clock()) / 1000):
             events.append(await self._receive.receive())
@@ -387,7 +386,7 @@
         changed.set()
 
     def _note_role(self) -> None:
-        """Log a change of role; a replica that no longer leads cannot answer for its log."""
+        """Log a change of role; on loss of leadership, resolve pending entries as unknown."""
         role = self.replica.role
         if role is self._seen_role:
             return
--- a/tests/control/test_feed_hub.py
+++ b/tests/control/test_feed_hub.py
@@ -1,4 +1,4 @@
-"""Tests of how control VMs bring configurations to entry VMs."""
+"""Tests of the feed hub: configurations, renewals and batched announcements."""
 
 from contextlib import asynccontextmanager
 
@@ -24,7 +24,7 @@
 
 
 class Site:
-    """Three hubs and one entry VM, which has configuration 1."""
+    """Three hubs and one entry VM, by default with configuration 1."""
 
     def __init__(self, version: int = 1, domain: str = ""):
         self.domain = domain
@@ -35,17 +35,17 @@
         self.feeds: FeedSet | None = None
 
     def install(self, version, _document):
-        """Take a configuration as an entry VM does."""
+        """Record a received configuration."""
         self.got.append(version)
         self.version = max(self.version, version)
 
     def publish(self, host, version):
-        """Have one hub learn of a configuration."""
+        """Publish a configuration at one hub."""
         self.held[host] = Held(version, {"version": version})
         self.hubs[host].publish(*self.held[host])
 
     async def until_has(self, version):
-        """Wait for the entry VM to have a configuration."""
+        """Wait until the entry VM has a configuration version."""
         with trio.fail_after(SOON_SECONDS):
             while self.version < version:
                 await trio.sleep(0.005)
@@ -53,7 +53,7 @@
 
 @asynccontextmanager
 async def running(site: Site, directory: Directory | None = None):
-    """Run hubs and follower; yield once the follower hears all hubs."""
+    """Run hubs and follower; yield once the follower is connected to all hubs."""
     port = await free_port()
     async with trio.open_nursery() as nursery:
         for host in HUBS:
@@ -96,12 +96,13 @@
 
 
 class TestTurns:
-    """Of all hubs one brings a configuration, and another one where that one does not."""
+    """Only one hub sends a configuration to a follower, unless that hub fails."""
 
     def test_comes_once(self):
-        """Each of six hubs brought each of 88 entry VMs a copy of every change.
+        """Guards against sending a copy of each change from every hub.
 
-        Changes in series then filled the entry VMs' links, and callers' answers waited.
+        With six hubs and 88 entry VMs, a series of changes filled the entry VMs' links and delayed
+        answers to callers.
         """
 
         async def run():
@@ -115,7 +116,7 @@
         trio.run(run)
 
     def test_first_in_turn_does_not_know_it(self):
-        """The hub whose turn it is is cut off from the others, and silent."""
+        """The first hub is partitioned from the others and does not know the change."""
 
         async def run():
             async with running(Site()) as site:
@@ -128,7 +129,7 @@
         trio.run(run)
 
     def test_storm_while_the_first_two_are_silent(self):
-        """Each change is overtaken by the next before the last hub has its turn."""
+        """Each change is replaced by the next before the delay of the last hub ends."""
 
         async def run():
             async with running(Site()) as site:
@@ -143,7 +144,7 @@
         trio.run(run)
 
     def test_one_that_has_none_gets_it_at_once(self):
-        """Callers wait at an entry VM that has just started."""
+        """An entry VM that has just started cannot serve its waiting callers yet."""
 
         async def run():
             site = Site(version=0)
@@ -155,7 +156,7 @@
         trio.run(run)
 
     def test_hub_of_the_own_domain_comes_first(self):
-        """Of 195 copies of a change 156 crossed between failure domains, whose bytes are dear."""
+        """Guards against sending 156 of 195 copies of a change between failure domains."""
 
         async def run(domain):
             async with running(Site(domain=domain)) as site:
@@ -170,7 +171,7 @@
 
 
 class Session:
-    """A follower that keeps what it is sent."""
+    """A follower that records the frames sent to it."""
 
     def __init__(self, host: str, peer_port: int, domain: str):
         self.follow = Follow(host, host, peer_port, 1, domain)
@@ -178,21 +179,21 @@
         self.frames: list[bytes] = []
 
     def send_nowait(self, frame: bytes) -> None:
-        """Take a frame."""
+        """Record a frame."""
         self.frames.append(frame)
 
     @property
     def heard(self) -> set[str]:
-        """Return the servers whose renewals have come."""
+        """Return the servers whose renewals were received."""
         opened = [open_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in self.frames]
         return {server for renewals in opened for server, _, _ in renewals.items}
 
 
 class TestRenewals:
-    """Who hears that a server has spoken again."""
+    """Which followers receive the renewals of a server."""
 
     def renewed(self, entries: int) -> list[Session]:
-        """Have 60 engines and a plain server of two domains speak; return all followers."""
+        """Renew 60 engines in two domains and a plain server; return all followers."""
         directory = Directory(4_800)
         hub = FeedHub(
             HUBS[0], "a", directory, lambda: HUBS, lambda: None, b"k", Counters(), Quiet()
@@ -214,7 +215,7 @@
         assert all(len(item.heard) == 61 for item in self.renewed(MOST_VMS))
 
     def test_large_fleet_hears_its_own_domain_and_small_services(self):
-        """At 870 servers the renewals of all would be 14 KB a second for each VM."""
+        """Guards against 14 KB/s of renewals per VM in a fleet of 870 servers."""
         *entries, control = self.renewed(MOST_VMS + 1)
         for item in entries:
             number = "ab".index(item.follow.failure_domain)
@@ -231,7 +232,7 @@
 
 
 class TestArrivals:
-    """Servers that come at once are told of together, and a leave never overtakes an arrival."""
+    """New servers are announced in batches, and a leave never overtakes a join."""
 
     def hub(self) -> tuple[FeedHub, Session]:
         """Return a hub with one follower."""
@@ -243,12 +244,15 @@
         return hub, session
 
     def told(self, session: Session) -> list[list[tuple[str, bool]]]:
-        """Return what each message told of servers, and whether they leave."""
+        """Return each message's servers and whether they are leaving."""
         opened = [open_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in session.frames]
         return [[(said.server, said.leaving) for said in item.announcements] for item in opened]
 
     def test_sixty_servers_after_a_loss_of_all(self):
-        """A message for each of 48 servers to each of 87 followers kept new followers waiting."""
+        """Guards against one message per server and follower after a restart of all VMs.
+
+        With 48 servers and 87 followers, these messages delayed new followers.
+        """
 
         async def run():
             hub, session = self.hub()
--- a/tests/control/test_reads.py
+++ b/tests/control/test_reads.py
@@ -1,4 +1,4 @@
-"""Tests of reading the newest state at a replica."""
+"""Tests of linearizable reads at a replica."""
 
 import random
 
@@ -15,19 +15,19 @@
 
 
 def make_task() -> ReplicaTask:
-    """Return the task of a replica that nobody speaks to."""
+    """Return the task of a replica without peers."""
     replica = Replica("r0", [], TIMES, Restored(), random.Random(1), 0.0, JoinGroup())
     return ReplicaTask(replica, None, {}, Counters(), 100)
 
 
 class TestReads:
-    """A read is answered from a state that holds all that was accepted before."""
+    """A read includes all configurations accepted before it."""
 
     def test_a_stalled_disk_does_not_show_the_past(self):
-        """A follower's disk stalls for three seconds while configurations are accepted.
+        """Guards against reading an outdated version from a follower with a stalled disk.
 
-        It knows that they are committed but applies them only after its sync.  An operator who
-        asked it meanwhile was shown a version from before the stall.
+        The follower knows that configurations are committed, but applies them only after its sync.
+        An operator saw the version from before a stall of three seconds.
         """
 
         async def run():
