--- a/siskinspoke/feeds/__init__.py
+++ b/siskinspoke/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Following control VMs: what entry VMs and other control VMs learn from their hubs."""
+"""The clients of control VMs' feeds, used by entry VMs and by other control VMs."""
--- a/siskinspoke/feeds/follower.py
+++ b/siskinspoke/feeds/follower.py
@@ -1,4 +1,4 @@
-"""Follow every control VM over one connection each, and find them through seeds and rosters."""
+"""Feed clients: one connection to each control VM, which seeds and rosters name."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -23,31 +23,32 @@
 from siskinspoke.transport.frames import frame_of, frames_from, open_frame, send_frames
 from siskinspoke.transport.sockets import tune
 
-# A connection within a site takes some milliseconds, and whoever does not answer may have no power
-# yet.  After a loss of all VMs callers wait until the first control VM is followed.
+# A connection within a site takes a few milliseconds; a VM that does not answer may not be powered
+# on yet. After a restart of all VMs, callers wait until the first control VM is connected.
 CONNECT_SECONDS = 0.12
-# A hub speaks every 0.45 s; three times that without a word means that the connection is dead,
-# which leaves time to connect anew within the time in which a change must be obeyed (2 s).
+# A hub sends something every 0.45 s; after three such intervals of silence the connection counts as
+# dead. That leaves time to reconnect within the 2 s in which a change must be in force.
 SILENT_SECONDS = 1.35
-# Pauses between two tries grow from the first to the last, so that a control VM that is gone for
-# long costs five tries a second.
+# The delay between connection attempts grows exponentially, to five attempts a second for a control
+# VM that stays unreachable.
 FIRST_PAUSE_SECONDS = 0.04
 MOST_PAUSE_SECONDS = 0.2
 PAUSE_GROWTH = 1.3
-# Whom rosters name anew is followed at once; only who is named no more is found by looking.
+# New control VMs in rosters are followed at once; removed ones are found at this interval.
 LOOK_SECONDS = 1.0
-# An entry VM is told of work for this long after it was last named or heard.
+# How long an entry VM counts as a peer after it was last on a roster or heard from.
 PEER_SECONDS = 20.0
-# A control VM that no roster names any more is followed on for this long.
+# How long a control VM is still followed after the last roster that named it.
 FORGET_SECONDS = 10.0
-# News of crashes that wait for one hub; a fleet has a few a second at the worst.
+# Capacity of the queue of crash reports to one hub; a fleet has at most a few reports a second.
 MOST_CRASH_NEWS = 256
 
 
 class Listener(NamedTuple):
-    """What to do with what a hub says, and what this VM has to say.
+    """Handlers of messages from hubs, and the sources of what this VM sends to them.
 
-    ``version`` tells which configuration is held, ``own_crashes`` what it has seen of crashes.
+    ``version`` returns the version of the current configuration, ``own_crashes`` the crash reports
+    of this VM.
     """
 
     on_publication: Callable[[int, dict], None]
@@ -60,7 +61,7 @@
 
 
 class Me(NamedTuple):
-    """What a follower says of itself."""
+    """The identity that a follower sends to hubs."""
 
     name: str
     host: str
@@ -69,12 +70,12 @@
 
 
 def pause_after(failures: int) -> float:
-    """Return how long to wait after so many tries in a row that reached nobody, in seconds."""
+    """Return the delay in seconds after a number of consecutive failed connection attempts."""
     return min(MOST_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * PAUSE_GROWTH ** min(failures, 20))
 
 
 class FeedSet:
-    """Own the connections to all control VMs that are known."""
+    """Keep a connection to each known control VM."""
 
     def __init__(
         self,
@@ -107,17 +108,17 @@
 
     @property
     def connected(self) -> int:
-        """Return how many control VMs this VM hears."""
+        """Return the number of control VMs with a working connection."""
         return len(self._connected)
 
     @property
     def controls(self) -> tuple[str, ...]:
-        """Return the hosts of all control VMs that seeds or rosters name, or that have called."""
+        """Return the hosts of all control VMs from seeds, rosters and ControlUp messages."""
         named = {host for roster in self._rosters.values() for host in roster.controls}
         return tuple(sorted(named | set(self._seeds) | self._called_at.keys()))
 
     def hear_control(self, host: str) -> None:
-        """Follow a control VM that says that it is up; rosters name it as long as it takes part."""
+        """Follow a control VM that has sent ControlUp; rosters name it while it is a member."""
         is_new = host not in self.controls
         self._called_at[host] = trio.current_time()
         if is_new:
@@ -125,21 +126,21 @@
 
     @property
     def peer_changes(self) -> int:
-        """Return how often an entry VM has come to be known, or was forgotten."""
+        """Return how many times an entry VM has been added or removed."""
         return self._peer_changes
 
     @property
     def peers(self) -> list[EntryPeer]:
-        """Return the other entry VMs that are known.
+        """Return the other known entry VMs.
 
-        One that is cut off from the control VMs stands on no roster, but serves on: without
-        its peers' news its books would fill with work that has long ended.
+        An entry VM that is partitioned from the control VMs is on no roster but keeps serving.
+        Without reports from its peers it would count their finished requests as running.
         """
         now = trio.current_time()
         return [peer for peer, at in self._peers.items() if now - at < PEER_SECONDS]
 
     def heard_peer(self, host: str, failure_domain: str) -> None:
-        """Note that an entry VM lives, from its own word."""
+        """Record that a message from an entry VM has arrived."""
         self._note_peer(EntryPeer(host, self._me.peer_port, failure_domain))
 
     def _note_peer(self, peer: EntryPeer) -> None:
@@ -149,7 +150,7 @@
         self._peers[peer] = trio.current_time()
 
     def forget_peers(self) -> None:
-        """Drop the entry VMs that nobody has named for long."""
+        """Remove the entry VMs that have been neither named nor heard from for PEER_SECONDS."""
         now = trio.current_time()
         for peer, at in list(self._peers.items()):
             if now - at >= PEER_SECONDS:
@@ -157,12 +158,12 @@
                 self._peer_changes += 1
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take over other seeds, as changed settings name them."""
+        """Replace the seeds after a change of the settings."""
         self._seeds = seeds
         self._named.set()
 
     async def run(self) -> None:
-        """Follow whom seeds and rosters name, forever."""
+        """Follow all known control VMs until cancelled."""
         try:
             async with trio.open_nursery() as nursery:
                 while True:
@@ -171,7 +172,7 @@
                     with trio.move_on_after(LOOK_SECONDS):
                         await self._named.wait()
         finally:
-            # The followers ended with the nursery; begun anew, this would take them for running.
+            # The connections ended with the nursery; a restarted task must not count them as open.
             self._following.clear()
             for host in list(self._connected):
                 self._lost(host)
@@ -180,7 +181,7 @@
         now = trio.current_time()
         self._heard_at |= dict.fromkeys(self._connected, now)
         for host in list(self._rosters):
-            # Only the roster of a VM that others do without is dropped.
+            # Rosters expire only while another hub is connected, which would name active members.
             if self._connected and now - self._heard_at.get(host, 0.0) > FORGET_SECONDS:
                 del self._rosters[host]
         for host, at in list(self._called_at.items()):
@@ -209,7 +210,7 @@
                 await trio.sleep(pause_after(failures))
 
     def _lost(self, host: str) -> None:
-        # The roster stays: the control VMs that it names may be the only way back.
+        # The roster is kept: the control VMs that it names may be the only ones reachable later.
         if host in self._connected:
             self._connected.discard(host)
             self._log.note("control.lost", control=host, hears=len(self._connected))
@@ -241,18 +242,18 @@
             self._counters.count("feed.broken")
 
     async def _tell_versions(self, stream: trio.SocketStream) -> None:
-        """Tell one hub which configuration this VM has, so that it need not send it as well."""
+        """Report each new configuration version to a hub, so that it need not send it as well."""
         while True:
             await self._installed.wait()
             try:
                 await self._patiently(stream, Holds(self._listener.version()))
             except (OSError, trio.BrokenResourceError, trio.TooSlowError):
-                # The reader of the same connection notices a break by itself.
+                # The task that reads from the connection handles the failure.
                 self._counters.count("feed.broken")
                 return
 
     def tell_crashes(self, news: CrashNews) -> None:
-        """Tell all hubs what this VM has learned of crashes; they tell everybody else."""
+        """Send crash reports of this VM to all hubs, which forward them to all other VMs."""
         for outbox in self._outboxes:
             try:
                 outbox.send_nowait(news)
@@ -260,7 +261,7 @@
                 self._counters.count("feed.overrun")
 
     async def _tell_crashes(self, stream: trio.SocketStream) -> None:
-        """Tell one hub of crashes, first what it may have forgotten in a restart or a cut."""
+        """Send crash reports to a hub, starting with those lost in a restart or partition."""
         outbox, pending = trio.open_memory_channel[CrashNews](MOST_CRASH_NEWS)
         self._outboxes.add(outbox)
         try:
@@ -269,7 +270,7 @@
             async for news in pending:
                 await self._patiently(stream, news)
         except (OSError, trio.BrokenResourceError, trio.TooSlowError):
-            # The reader of the same connection notices a break by itself.
+            # The task that reads from the connection handles the failure.
             self._counters.count("feed.broken")
         finally:
             self._outboxes.discard(outbox)
@@ -281,7 +282,7 @@
         opened = open_frame(self._key, frame)
         if opened.is_error():
             self._counters.count(f"feed.refused.{opened.error}")
-            raise trio.BrokenResourceError(f"not a hub of ours: {opened.error}")
+            raise trio.BrokenResourceError(f"invalid frame from hub: {opened.error}")
         if host not in self._connected:
             self._connected.add(host)
             self._log.note("control.heard", control=host, hears=len(self._connected))
@@ -298,7 +299,7 @@
                 event.set()
             case Renewals(items=items):
                 self._listener.on_renewals(items)
-                # It shows that this follower lives, in the moment in which it is awake anyway.
+                # Serves as a heartbeat without a timer of its own.
                 await self._patiently(stream, Receipt(0))
             case Remembered(announcements=announcements):
                 self._listener.on_remembered(announcements)
@@ -312,11 +313,10 @@
         await self._patiently(stream, Receipt(number))
 
     async def _patiently(self, stream: trio.SocketStream, item: NamedTuple) -> None:
-        """Send a message, also where another is being written."""
+        """Send a message, waiting while another task writes to the stream."""
         while True:
             try:
                 await self._send(stream, item)
                 return
             except trio.BusyResourceError:
-                # Another message is being written; it takes a moment.
                 await trio.sleep(0.001)
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of how a VM finds the control VMs again."""
+"""Tests of how a VM reconnects to control VMs."""
 
 import trio
 from trio.testing import MockClock
@@ -13,10 +13,10 @@
 
 
 class Quiet:
-    """A decision log that writes nothing."""
+    """A decision log that discards all lines."""
 
     def note(self, event, **fields):
-        """Leave a line out."""
+        """Discard a line."""
 
 
 def feeds():
@@ -28,13 +28,14 @@
 
 
 class TestFindingAgain:
-    """A control VM that could not be reached is found soon after it can be."""
+    """A control VM is connected soon after it becomes reachable."""
 
     def test_control_vm_that_had_no_power(self, monkeypatch):
-        """All VMs have lost power; entry VMs are up 0.35 s before the first control VM.
+        """Guards against a slow reconnect after a power loss of all VMs.
 
-        Connections to a VM without power are not refused, they hang.  Callers' requests wait at
-        the entry VMs for a configuration, and each tenth of a second makes more of them late.
+        Entry VMs are up 0.35 s before the first control VM. Connections to a VM without power hang
+        instead of being refused. Callers' requests wait for a configuration meanwhile, and more of
+        them are late with each 0.1 s.
         """
         found = []
 
@@ -57,7 +58,7 @@
         assert found[0] < POWER_SECONDS + LONGEST_WAIT_SECONDS
 
     def test_task_that_is_begun_anew(self, monkeypatch):
-        """A fault ended the task; begun anew it followed nobody, and took itself for connected."""
+        """Guards against a restarted task that counts the connections of its last run as open."""
         tries = []
 
         async def connect(*_args, **_kwargs):
@@ -97,7 +98,7 @@
 
 
 class TestCalledByControl:
-    """After a loss of all VMs an entry VM knows the seeds alone, and they are the last to be up."""
+    """An entry VM that knows only the seeds can be notified by a control VM that is up earlier."""
 
     def test_follows_who_calls(self):
         async def run():
