--- a/siskinspoke/protocol/announcements.py
+++ b/siskinspoke/protocol/announcements.py
@@ -1,4 +1,4 @@
-"""Messages by which backend servers make themselves known."""
+"""Messages that register backend servers and report their load."""
 
 from typing import NamedTuple
 
@@ -9,11 +9,12 @@
 
 @message
 class Announcement(NamedTuple):
-    """A backend server's word on itself; a later one of the same incarnation replaces it.
+    """The registration of a backend server; a later one of the same incarnation replaces it.
 
     ``incarnation`` grows with each start of the server and ``seq`` with each announcement.
-    Token counts are KV cache capacity; rates are tokens a second; ``queued`` holds the prefill
-    tokens that wait, by priority rank.  ``fencing`` says whether it refuses old orders.
+    Token counts are KV cache capacity, rates are in tokens per second, and ``queued`` holds the
+    number of waiting prefill tokens by priority rank. ``fencing`` tells whether the server rejects
+    outdated orders.
     """
 
     server: str
@@ -36,17 +37,17 @@
 
 @message
 class Spread(NamedTuple):
-    """An announcement that an entry VM passes on whole to another watcher."""
+    """A whole announcement that an entry VM forwards to another watcher."""
 
     announcement: Announcement
 
 
 @message
 class Load(NamedTuple):
-    """The part of an announcement that changes, for watchers that know the rest.
+    """The variable fields of an announcement, for watchers that know the others.
 
-    ``key`` stands for the server's name and ``sender`` is the place of the entry VM in the
-    settings; both keep the datagram small, since it is most of what a daemon sends.
+    ``key`` is a hash of the server's name and ``sender`` the index of the entry VM in the settings.
+    Both keep the datagram small, because a daemon sends this message more than any other.
     """
 
     key: int
@@ -61,19 +62,19 @@
 
 @message
 class Want(NamedTuple):
-    """A watcher that does not know a server asks for its whole announcement."""
+    """A watcher's request for the whole announcement of a server that it does not know."""
 
     key: int
     sender: int
 
 
 def server_key(server: str) -> int:
-    """Return the short stand-in for a server's name."""
+    """Return the 32-bit hash that identifies a server in Load and Want messages."""
     return xxhash.xxh32_intdigest(server.encode())
 
 
 def load_of(announcement: Announcement, sender: int) -> Load:
-    """Return the changing part of an announcement; ranks at the end without work go."""
+    """Return the variable fields of an announcement, without trailing ranks with an empty queue."""
     queued = list(announcement.queued)
     while queued and not queued[-1]:
         queued.pop()
@@ -90,7 +91,7 @@
 
 
 def with_load(announcement: Announcement, load: Load) -> Announcement:
-    """Return a known announcement brought up to date by a later load."""
+    """Return an announcement updated with a later load."""
     return announcement._replace(
         seq=load.seq,
         free_tokens=load.free_tokens,
--- a/siskinspoke/protocol/assembly.py
+++ b/siskinspoke/protocol/assembly.py
@@ -1,4 +1,4 @@
-"""Put an answer together from chunks that may be late, doubled, crossed or missing."""
+"""Assemble an answer from chunks that may be late, duplicated, misdirected or missing."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Piece:
-    """New text of the answer, from token ``offset`` on."""
+    """New text of the answer, starting at token ``offset``."""
 
     offset: int
     tokens: int
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class Ignored:
-    """A chunk that is not this attempt's, or holds nothing new."""
+    """A chunk of another attempt, or one that adds nothing; ``reason`` tells which."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Gap:
-    """Tokens are missing: the stream cannot be trusted further."""
+    """Tokens are missing, so the rest of the stream cannot be used."""
 
     expected: int
     got: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Complete:
-    """The answer is whole."""
+    """The answer is complete."""
 
     tokens: int
 
@@ -52,10 +52,10 @@
         return self._next
 
     def feed(self, chunk: Chunk) -> Step:
-        """Take one chunk and say what it adds.
+        """Process a chunk and return what it adds.
 
-        An abandoned attempt may speak again, and an engine restarted under the same address
-        may answer for a request it never took; both differ in attempt or incarnation.
+        An abandoned attempt may still send chunks, and an engine restarted at the same address may
+        answer a request that it never received. Both differ in attempt or incarnation.
         """
         if (chunk.request, chunk.attempt, chunk.incarnation) != self._source:
             return Ignored("foreign")
--- a/siskinspoke/protocol/claims.py
+++ b/siskinspoke/protocol/claims.py
@@ -4,7 +4,7 @@
 
 
 class Target(NamedTuple):
-    """The backend server, in one incarnation, that an attempt is claimed for."""
+    """The backend server and incarnation that an attempt is claimed for."""
 
     server: str
     incarnation: int
@@ -13,10 +13,10 @@
 
 
 class ClaimRequest(NamedTuple):
-    """Ask to be the one that runs a key's request at a target.
+    """A request for the exclusive right to run a key's request on a target.
 
-    ``key`` names customer and idempotency key; ``expires_ms`` is the wall-clock time that the
-    caller put into the key itself; ``lifetime_ms`` is the longest life allowed.
+    ``key`` consists of customer and idempotency key. ``expires_ms`` is the wall-clock time that the
+    caller encoded in the key; ``lifetime_ms`` is the maximum lifetime.
     """
 
     key: str
@@ -27,13 +27,13 @@
 
 
 class LookupRequest(NamedTuple):
-    """Ask what is held on a key, without claiming it."""
+    """A request for the state of a key, without claiming it."""
 
     key: str
 
 
 class SettleRequest(NamedTuple):
-    """Say how a claimed attempt ended; ``ran`` False frees the key for another attempt."""
+    """The result of a claimed attempt; if ``ran`` is False, the key is free for another one."""
 
     key: str
     attempt: int
@@ -43,10 +43,10 @@
 
 
 class ClaimAnswer(NamedTuple):
-    """What the control replicas hold on a key.
+    """The state of a key on the control replicas.
 
-    ``code`` is OK where the asker now holds the claim, IN_PROGRESS where another attempt
-    holds it, ALREADY_RAN where it ended.  A look-up answers OK where nothing holds the key.
+    ``code`` is OK if the sender now holds the claim, IN_PROGRESS if another attempt holds it, and
+    ALREADY_RAN if the request has been run. For a lookup, OK means that there is no claim.
     """
 
     code: int
--- a/siskinspoke/protocol/codec.py
+++ b/siskinspoke/protocol/codec.py
@@ -1,4 +1,4 @@
-"""A codec for typed messages: a JSON list of the message's name and its fields."""
+"""The codec for typed messages: a JSON array of the message's class name and its fields."""
 
 from typing import Any, TypeVar
 
@@ -11,18 +11,18 @@
 
 
 def message(cls: T) -> T:
-    """Register a NamedTuple as a message that may travel between processes."""
+    """Register a NamedTuple class as a message; its name and field order are the wire format."""
     _types[cls.__name__] = cls
     return cls
 
 
 def encode_message(item: Any) -> bytes:
-    """Return the bytes of a registered message."""
+    """Encode a registered message."""
     return msgspec.json.encode([type(item).__name__, item])
 
 
 def decode_message(data: bytes) -> Result[Any, str]:
-    """Return the message that the bytes hold, or why they hold none."""
+    """Decode a message; return the reason if the data is invalid."""
     try:
         name, fields = msgspec.json.decode(data, type=tuple[str, msgspec.Raw])
         if name not in _types:
--- a/siskinspoke/protocol/crashes.py
+++ b/siskinspoke/protocol/crashes.py
@@ -1,6 +1,6 @@
-"""Messages by which VMs tell each other which servers crashed, and who was open there.
+"""Messages about crashed servers and the requests that were open there.
 
-Clocks differ between VMs, so times are ages: milliseconds before the message was sent.
+Clocks differ between VMs, so times are sent as ages: milliseconds before the message was sent.
 """
 
 from collections.abc import Iterable
@@ -10,14 +10,14 @@
 
 
 class SuspectReport(NamedTuple):
-    """A request that was open at a server when it crashed, and how long before it was sent."""
+    """A request that was open at a server when it crashed, and how long it had been running."""
 
     fingerprint: str
     ran_ms: int
 
 
 class CrashReport(NamedTuple):
-    """A crash and some of those who were open there; ``servers`` is how many the service had."""
+    """A crash and requests open at the time; ``servers`` is the service's number of servers."""
 
     server: str
     incarnation: int
@@ -28,14 +28,14 @@
 
 
 class SuspectEvent(NamedTuple):
-    """Something that happened to a suspect."""
+    """An event that concerns a suspect request."""
 
     fingerprint: str
     age_ms: int
 
 
 class RefutedCrash(NamedTuple):
-    """A server that was taken for dead and has answered since."""
+    """A server that was considered crashed and has answered since."""
 
     server: str
     incarnation: int
@@ -43,10 +43,10 @@
 
 @message
 class CrashNews(NamedTuple):
-    """What a VM has learned of crashes.
+    """New crashes and events of suspects seen by a VM.
 
-    ``served`` are suspects that were answered whole, ``probed`` those of which one attempt was let
-    through after their quarantine.
+    ``served`` are suspects that were answered completely, ``probed`` those of which one attempt was
+    allowed after their quarantine.
     """
 
     crashes: list[CrashReport]
@@ -61,13 +61,13 @@
     probed: Iterable[SuspectEvent] = (),
     refuted: Iterable[RefutedCrash] = (),
 ) -> CrashNews:
-    """Return news of some of these kinds."""
+    """Return a CrashNews message; kinds that are not given are empty."""
     return CrashNews(list(crashes), list(served), list(probed), list(refuted))
 
 
 @message
 class CrashSpread(NamedTuple):
-    """News between entry VMs; one of another failure domain passes them on in its own."""
+    """Crash news between entry VMs; a recipient in another failure domain relays them there."""
 
     domain: str
     news: CrashNews
@@ -75,6 +75,6 @@
 
 @message
 class CrashWant(NamedTuple):
-    """A question for all that matters of crashes, from the VM at this place in the settings."""
+    """A request for all current crash news; ``place`` is the sender's index in the settings."""
 
     place: int
--- a/siskinspoke/protocol/decimals.py
+++ b/siskinspoke/protocol/decimals.py
@@ -1,4 +1,4 @@
-"""Decimal numbers in headers that other programs write."""
+"""Decimal numbers in headers received from other programs."""
 
 import math
 import re
@@ -7,7 +7,7 @@
 
 
 def decimal(text: str | None) -> float | None:
-    """Return a number of zero and more, None where there is none or the text is something else."""
+    """Parse a finite non-negative number; return None if the text is missing or invalid."""
     if text is None or not _DECIMAL.fullmatch(text):
         return None
     try:
--- a/siskinspoke/protocol/engine.py
+++ b/siskinspoke/protocol/engine.py
@@ -9,8 +9,8 @@
 class GenerateRequest(TypedDict):
     """Body of POST /v1/generate: start one attempt of a request.
 
-    ``offset`` counts tokens of the answer that the prompt already holds.  ``prefilled`` counts
-    prompt tokens that the other members of a group hold.
+    ``offset`` is the number of answer tokens that the prompt already contains. ``prefilled`` is the
+    number of prompt tokens that the other members of a group hold.
     """
 
     request: str
@@ -28,8 +28,8 @@
 class AttemptRequest(TypedDict):
     """Body of POST /v1/cancel and POST /v1/resume: name one attempt.
 
-    ``unless_began`` makes a cancel leave an attempt alone that began, and only forbid one
-    that did not.
+    With ``unless_began``, a cancel does not stop an attempt that has begun; it only prevents one
+    that has not.
     """
 
     request: str
@@ -39,7 +39,7 @@
 
 
 class ReserveRequest(TypedDict):
-    """Body of POST /v1/reserve, /v1/release and /v1/prefill: memory held for a long prompt."""
+    """Body of POST /v1/reserve, /v1/release and /v1/prefill: memory reserved for a long prompt."""
 
     reservation: str
     owner: str
@@ -50,7 +50,7 @@
 class CacheEvents(TypedDict):
     """Answer of GET /v1/cache-events: number, kind and block of each event.
 
-    ``first`` is the number of the first event still held, which shows a gap.
+    ``first`` is the number of the oldest event still available, which reveals a gap.
     """
 
     first: int
@@ -58,10 +58,10 @@
 
 
 class Chunk(NamedTuple):
-    """One piece of an answer; ``offset`` is the index of its first token.
+    """A part of an answer; ``offset`` is the index of its first token.
 
-    The last chunk has ``done`` set and no text.  ``incarnation`` tells an engine that was
-    restarted under the same address from the one that took the request.
+    The last chunk has ``done`` set and no text. ``incarnation`` distinguishes an engine that was
+    restarted at the same address from the one that received the request.
     """
 
     request: str
@@ -74,7 +74,7 @@
 
 
 class CancelState:
-    """What a backend server knows of an attempt when it is asked to cancel it."""
+    """The states of an attempt that a backend server returns for a cancel request."""
 
     NEVER_BEGAN = "never_began"
     RUNNING = "running"
--- a/siskinspoke/protocol/events.py
+++ b/siskinspoke/protocol/events.py
@@ -1,11 +1,11 @@
-"""Split a stream of server-sent events into whole events."""
+"""Splitting a byte stream into server-sent events."""
 
 EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    """Take bytes as they come and give whole events; an event that is cut is never given."""
+    """Split received bytes into complete events; incomplete events are buffered."""
 
     def __init__(self) -> None:
         self._rest = bytearray()
@@ -14,11 +14,11 @@
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes after the last whole event."""
+        """Return the bytes after the last complete event."""
         return bytes(self._rest)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that are now whole, each with its end."""
+        """Add received bytes; return the events completed by them, with their terminators."""
         self._rest += data
         events = []
         while (end := self._next_end()) is not None:
@@ -44,7 +44,7 @@
 
 
 def id_of(event: bytes) -> str | None:
-    """Return the id of an event, or None where it has none."""
+    """Return the id of an event, or None if it has none."""
     for line in event.splitlines():
         if line.startswith(ID_FIELD):
             return line[len(ID_FIELD) :].strip().decode("latin-1")
--- a/siskinspoke/protocol/feed.py
+++ b/siskinspoke/protocol/feed.py
@@ -1,7 +1,7 @@
-"""Messages by which control VMs tell others what they know, over one connection each.
+"""Messages of the feed from control VMs to their followers.
 
-A follower (an entry VM, or another control VM) opens the connection and says what it has.  The
-hub answers with all that it knows and then with each change.
+A follower, which is an entry VM or another control VM, opens a connection and sends Follow with its
+configuration version. The hub answers with its whole state and then with each change.
 """
 
 from typing import NamedTuple
@@ -12,9 +12,10 @@
 
 @message
 class Follow(NamedTuple):
-    """A follower's first word; ``version`` is the configuration that it has.
+    """The first message of a follower; ``version`` is that of its configuration.
 
-    ``peer_port`` is where an entry VM hears the other entry VMs, 0 at a control VM.
+    ``peer_port`` is the port on which an entry VM receives messages of its peers, 0 for a control
+    VM.
     """
 
     name: str
@@ -25,7 +26,7 @@
 
 
 class EntryPeer(NamedTuple):
-    """An entry VM, and where it hears the others."""
+    """An entry VM and the address on which it receives messages of its peers."""
 
     host: str
     port: int
@@ -34,14 +35,14 @@
 
 @message
 class ControlUp(NamedTuple):
-    """A control VM's word to an entry VM, by datagram, that it can be followed at this host."""
+    """A datagram from a control VM to an entry VM: the feed at this host can be followed."""
 
     host: str
 
 
 @message
 class Roster(NamedTuple):
-    """The hosts of all control VMs that the hub knows, and the entry VMs that follow it."""
+    """The hosts of all control VMs and the entry VMs that the hub knows."""
 
     controls: list[str]
     entries: list[EntryPeer]
@@ -49,7 +50,7 @@
 
 @message
 class Publication(NamedTuple):
-    """A configuration as operators sent it."""
+    """A configuration as submitted by an operator."""
 
     version: int
     document: dict
@@ -57,7 +58,7 @@
 
 @message
 class News(NamedTuple):
-    """Announcements that say something new; the follower confirms the number."""
+    """Announcements with changes; the follower confirms them by ``number``."""
 
     number: int
     announcements: list[Announcement]
@@ -65,27 +66,27 @@
 
 @message
 class Remembered(NamedTuple):
-    """Servers that a control VM knew before it was restarted and has not heard since."""
+    """Servers that a control VM has restored after a restart and not heard from since."""
 
     announcements: list[Announcement]
 
 
 @message
 class Renewals(NamedTuple):
-    """Servers that have spoken again without saying anything new, each with its sequence."""
+    """Name, incarnation and sequence number of servers with an unchanged announcement."""
 
     items: list[tuple[str, int, int]]
 
 
 @message
 class Holds(NamedTuple):
-    """The follower has a configuration, from whichever hub it came."""
+    """The version of the follower's configuration, whichever hub sent it."""
 
     version: int
 
 
 @message
 class Receipt(NamedTuple):
-    """The follower has taken in all news up to a number; 0 only shows that it lives."""
+    """A follower's confirmation of all News up to ``number``; 0 is only a heartbeat."""
 
     number: int
--- a/siskinspoke/protocol/peers.py
+++ b/siskinspoke/protocol/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams by which entry VMs tell each other what they begin and end at engines."""
+"""Datagrams between entry VMs: work at engines, placement queries and rate limit permits."""
 
 from typing import NamedTuple
 
@@ -8,10 +8,10 @@
 
 
 class WorkBegan(NamedTuple):
-    """A request has been sent; the first server writes, the others read parts.
+    """A dispatched request; the first server decodes, the others prefill parts of the prompt.
 
-    ``held`` are the tokens that each of the others keeps; empty where the first keeps all.  Nobody
-    else should join work that is ``alone``.
+    ``held`` are the tokens that each of the others keeps in memory, empty if the first keeps all.
+    No other request should be placed beside work that is ``alone``.
     """
 
     number: int
@@ -25,7 +25,7 @@
 
 
 class EnginePace(NamedTuple):
-    """How much slower than its costs say an engine is, by its own word; 1 is as they say."""
+    """An engine's reported slowdown relative to its configured costs; 1 means none."""
 
     server: str
     pace: float
@@ -33,9 +33,9 @@
 
 @message
 class PlaceQuestion(NamedTuple):
-    """A VM whose own cell is short asks one of another cell where it would place a prompt.
+    """A query from a VM whose cell lacks capacity: where would another cell place a prompt?
 
-    ``excluded`` are the servers that the request has tried.  Times in milliseconds.
+    ``excluded`` are the servers that the request has already tried. Times are in milliseconds.
     """
 
     host: str
@@ -50,7 +50,7 @@
 
 @message
 class PlaceOffer(NamedTuple):
-    """Where the asked VM would place it, the writing server first; no servers mean nowhere."""
+    """The placement offered by the queried VM, decoding server first; empty if there is none."""
 
     number: int
     servers: list[str]
@@ -60,11 +60,11 @@
 
 @message
 class WorkNews(NamedTuple):
-    """What an entry VM has begun, brought to its first token and ended, by its own numbers.
+    """The work that an entry VM has begun, brought to its first token and ended, by number.
 
-    ``start`` tells this start of the process from earlier ones at the same host.  ``calls`` are
-    the requests and repeats since the last news.  ``cuts`` are the failure domains that a VM in
-    ``domain`` has come to believe to be out of reach, ``lost`` the servers that it could not reach.
+    ``start`` distinguishes this run of the process from earlier ones on the same host. ``calls``
+    counts requests and retries since the last message. ``cuts`` are the failure domains that a VM
+    in ``domain`` now considers unreachable, ``lost`` the servers that it could not reach.
     """
 
     host: str
@@ -81,10 +81,11 @@
 
 @message
 class PermitRequest(NamedTuple):
-    """A VM asks a server's limiter for leave to send it one request.
+    """A request to a server's limiter for permission to send the server one request.
 
-    ``domain`` is the server's.  ``rate`` is the limit that the server has named, in requests a
-    second, last heard of so many milliseconds ago; the other fields are those of ``limiters.Ask``.
+    ``domain`` is the server's failure domain. ``rate`` is the limit that the server has announced,
+    in requests per second, ``age_ms`` milliseconds ago. The other fields are those of
+    ``limiters.Ask``.
     """
 
     host: str
@@ -100,7 +101,7 @@
 
 @message
 class PermitReply(NamedTuple):
-    """What the limiter says, with a ``limiters.Verdict``'s fields."""
+    """The limiter's decision, with the fields of ``limiters.Verdict``."""
 
     number: int
     outcome: Outcome
@@ -109,7 +110,7 @@
 
 @message
 class RateLimitNews(NamedTuple):
-    """A server has named a limit, or ended it (None), to a VM, so many milliseconds ago."""
+    """A rate limit that a server has announced, or lifted (None), ``age_ms`` milliseconds ago."""
 
     server: str
     incarnation: int
--- a/siskinspoke/protocol/prefix.py
+++ b/siskinspoke/protocol/prefix.py
@@ -1,4 +1,4 @@
-"""Count tokens of a prompt and name its prefixes, the same way at callers' and engines' side."""
+"""Token counts and prefix hashes of prompts, computed alike by entry VMs and engines."""
 
 from collections.abc import Iterator
 
@@ -10,12 +10,12 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return the token count that reservations and estimates use; at least 1."""
+    """Return the approximate token count used for reservations and estimates; at least 1."""
     return max(1, -(-len(text) // CHARACTERS_PER_TOKEN))
 
 
 def prefix_blocks(text: str) -> list[int]:
-    """Return a name for each whole block's prefix; equal names mean equal prefixes."""
+    """Return a hash for the prefix up to each full block; equal hashes mean equal prefixes."""
     return list(_chain(text))
 
 
--- a/siskinspoke/protocol/replication.py
+++ b/siskinspoke/protocol/replication.py
@@ -1,4 +1,4 @@
-"""Messages between control replicas, and the records that they keep on disk."""
+"""Messages between control replicas, and the records of their journal."""
 
 from typing import Any, NamedTuple
 
@@ -17,7 +17,7 @@
 
 @message
 class HardState(NamedTuple):
-    """What a replica must not forget: its term and its vote in that term."""
+    """The current term of a replica and its vote in that term, which must be durable."""
 
     term: int
     voted_for: str
@@ -35,9 +35,9 @@
 
 @message
 class Checkpoint(NamedTuple):
-    """The first record of a journal: the snapshot on which the records after it build.
+    """The first record of a journal: the snapshot that the following records are based on.
 
-    Versions that keep the snapshot in a file of its own refuse a journal with this record.
+    Versions that keep the snapshot in a separate file refuse a journal with this record.
     """
 
     snapshot: Snapshot
@@ -45,7 +45,7 @@
 
 @message
 class Admitted(NamedTuple):
-    """A record on disk: a replaced disk counts as a member's, as committed at an index."""
+    """A journal record: a replaced disk is admitted as a member's, as committed at ``index``."""
 
     name: str
     incarnation: int
@@ -54,16 +54,16 @@
 
 @message
 class Committed(NamedTuple):
-    """A record on disk: entries up to an index are committed, which nothing can undo."""
+    """A journal record: all entries up to ``index`` are committed."""
 
     index: int
 
 
 class Identity(NamedTuple):
-    """Whose folder this is; ``incarnation`` is new for each emptied disk.
+    """The replica that a data folder belongs to; an emptied disk gets a new ``incarnation``.
 
-    ``founders`` are the members that a founder began with, where the settings may name others
-    by the time it restarts.
+    ``founders`` are the initial members of the group that this replica founded; the settings may
+    name others by the time it restarts.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 @message
 class Introduce(NamedTuple):
-    """A replica with an empty folder asks whether the others are as new; ``run`` names the try."""
+    """A replica with an empty folder asks whether the others are new too, in attempt ``run``."""
 
     sender: str
     run: int
@@ -81,7 +81,7 @@
 
 @message
 class IntroduceReply(NamedTuple):
-    """``fresh`` means that the sender has neither a term nor a log."""
+    """The answer to Introduce; ``fresh`` means that the sender has neither a term nor a log."""
 
     sender: str
     run: int
@@ -90,9 +90,9 @@
 
 @message
 class VoteRequest(NamedTuple):
-    """Ask for a vote; ``trial`` asks only whether it would be given, without a new term.
+    """A request for a vote; ``trial`` marks a pre-vote, which starts no new term.
 
-    ``commit`` and ``commit_term`` name the last entry that the sender knows to be committed.
+    ``commit`` and ``commit_term`` identify the last entry that the sender knows to be committed.
     ``handover`` is true if the leader asked the sender to succeed it.
     """
 
@@ -109,7 +109,7 @@
 
 @message
 class VoteReply(NamedTuple):
-    """Answer a vote request; ``own_term`` is the voter's, ``refusal`` the reason if refused."""
+    """The answer to a VoteRequest; ``own_term`` is the voter's term, ``refusal`` its reason."""
 
     sender: str
     incarnation: int
@@ -124,10 +124,10 @@
 
 @message
 class Append(NamedTuple):
-    """Entries of the leader after ``prev_index``, and how far the log is committed.
+    """Entries of the leader after ``prev_index``, and its commit index.
 
-    ``sent_at`` is the leader's own clock; the answer returns it, so that the leader knows
-    since when it has been heard.
+    ``sent_at`` is a time on the leader's clock. The reply returns it, so that the leader knows up
+    to which time the follower has acknowledged it.
     """
 
     sender: str
@@ -141,10 +141,11 @@
 
 @message
 class AppendReply(NamedTuple):
-    """``match`` is the last matching index that is on disk, or where to try next on a refusal.
+    """The answer to Append or Install.
 
-    ``received`` is the last matching index, whether or not it is on disk. ``sent_at`` is that of
-    the message answered.
+    ``match`` is the last matching index on disk or, after a refusal, the index to try next.
+    ``received`` is the last matching index, whether or not it is on disk. ``sent_at`` is copied
+    from the message answered.
     """
 
     sender: str
@@ -158,7 +159,7 @@
 
 @message
 class Handover(NamedTuple):
-    """A leader that shuts down asks its best follower to stand at once."""
+    """A leader that shuts down asks its most up-to-date follower to start an election at once."""
 
     sender: str
     term: int
@@ -166,7 +167,7 @@
 
 @message
 class Install(NamedTuple):
-    """A whole snapshot for a replica too far behind for the leader's log."""
+    """A snapshot for a replica that needs entries no longer in the leader's log."""
 
     sender: str
     term: int
@@ -176,7 +177,7 @@
 
 @message
 class Join(NamedTuple):
-    """A replica that no leader speaks to asks to take part; whoever follows one passes it on."""
+    """A replica without a leader asks to join; a follower forwards the message to its leader."""
 
     sender: str
     incarnation: int
@@ -184,7 +185,7 @@
 
 @message
 class Forward(NamedTuple):
-    """A follower forwards a command or a read to the leader; ``number`` is its own.
+    """A command or read that a follower forwards to the leader under a number of its own.
 
     ``term`` and ``incarnation`` are the follower's at the time of sending.
     """
@@ -199,7 +200,7 @@
 
 @message
 class Forwarded(NamedTuple):
-    """The leader's answer to a forwarded command; not ``known`` where its fate is open."""
+    """The leader's answer to a Forward; ``known`` is False if the outcome is unknown."""
 
     number: int
     known: bool
--- a/siskinspoke/protocol/seal.py
+++ b/siskinspoke/protocol/seal.py
@@ -1,8 +1,8 @@
-"""Authenticate messages between our own processes with a shared key.
+"""Message authentication between the system's processes with a shared key.
 
-A seal is a keyed BLAKE2b digest before the body.  It proves that the sender holds the key;
-it does not hide the body and does not stop replays.  Each protocol on top tolerates replays
-by itself: announcements by their sequence number, log messages by term and index.
+A seal is a keyed BLAKE2b digest in front of the body. It proves that the sender holds the key; it
+neither encrypts the body nor prevents replays. The protocols on top tolerate replays:
+announcements by their sequence number, replication messages by term and index.
 """
 
 import hmac
@@ -18,20 +18,20 @@
 
 
 def seal(key: bytes, body: bytes) -> bytes:
-    """Return the body behind its seal."""
+    """Return the body prefixed with its seal."""
     return _digest(key, body) + body
 
 
 def unseal(key: bytes, data: bytes) -> bytes | None:
-    """Return the body of sealed bytes, or None where the seal is not the key's.
+    """Return the body of a sealed message, or None if the seal is invalid.
 
-    This is for every message of a daemon; a typed result costs 30 microseconds more.
+    Daemons call this for every message; a Result would cost 30 microseconds more.
     """
     given, body = data[:SEAL_BYTES], data[SEAL_BYTES:]
     return body if hmac.compare_digest(given, _digest(key, body)) else None
 
 
 def open_sealed(key: bytes, data: bytes) -> Result[bytes, str]:
-    """Return the body of sealed bytes, or why they are refused."""
+    """Return the body of a sealed message, or an error if the seal is invalid."""
     body = unseal(key, data)
-    return Error("wrong seal") if body is None else Ok(body)
+    return Error("invalid seal") if body is None else Ok(body)
--- a/siskinspoke/protocol/sealed_http.py
+++ b/siskinspoke/protocol/sealed_http.py
@@ -1,4 +1,4 @@
-"""Seal HTTP exchanges between our own processes: path and body under the shared key."""
+"""Authentication of HTTP requests between the system's processes: a MAC of path and body."""
 
 import hmac
 from hashlib import blake2b
@@ -7,7 +7,7 @@
 
 
 def seal_of(key: bytes, path: str, body: bytes) -> str:
-    """Return the seal of a request, for its header."""
+    """Return the value of a request's seal header."""
     digest = blake2b(key=key[:64], digest_size=16)
     digest.update(path.encode() + b"\n")
     digest.update(body)
@@ -15,5 +15,5 @@
 
 
 def seal_holds(key: bytes, path: str, body: bytes, given: str | None) -> bool:
-    """Tell whether a request carries the seal of its path and body."""
+    """Tell whether ``given`` is the seal of a request's path and body."""
     return given is not None and hmac.compare_digest(given, seal_of(key, path, body))
--- a/tests/protocol/test_decimals.py
+++ b/tests/protocol/test_decimals.py
@@ -1,4 +1,4 @@
-"""Numbers in headers of other programs."""
+"""Tests of parsing numbers in headers."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class TestDecimal:
-    """Any way to write a finite number of zero and more is read; nothing else is."""
+    """All notations of a finite non-negative number are accepted, and nothing else."""
 
     @pytest.mark.parametrize(
         ("text", "number"),
@@ -16,7 +16,7 @@
         assert decimal(text) == number
 
     def test_all_digits_of_a_float(self):
-        """A limit with sixteen digits behind its point was taken for none."""
+        """Guards against ignoring a limit with sixteen decimal places."""
         assert decimal(repr(1 / 3)) == 1 / 3
         assert decimal(repr(2 / 3 * 1e-7)) == 2 / 3 * 1e-7
 
--- a/tests/protocol/test_events.py
+++ b/tests/protocol/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of splitting a stream into whole events."""
+"""Tests of splitting a stream into server-sent events."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class TestSplitting:
-    """Bytes may be cut anywhere; events come out whole."""
+    """Events are complete, wherever the received data is split."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 7, 1_000])
     def test_any_cut(self, size):
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -1,4 +1,4 @@
-"""Tests of codec, seals, the assembly of answers and prefix names."""
+"""Tests of codec, seals, the assembly of answers and prefix hashes."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 
 class TestCodec:
-    """Messages survive their encoding; nonsense is refused."""
+    """Messages survive a round trip; invalid data is refused."""
 
     def test_round_trip(self):
         item = announcement(3, 4, "sala-a")
@@ -26,7 +26,7 @@
 
 
 class TestSeal:
-    """Foreign and damaged messages are refused."""
+    """Messages with another key or damaged bytes are refused."""
 
     def test_wrong_key_and_damage(self):
         sealed = seal(KEY, b"body")
@@ -37,13 +37,13 @@
 
 
 def chunks(request="r", attempt=1, incarnation=7, count=6):
-    """Return the chunks of a whole answer, one token each."""
+    """Return the chunks of a complete answer, one token each."""
     texts = [Chunk(request, attempt, incarnation, n, 1, f"{n} ", False) for n in range(count)]
     return [*texts, Chunk(request, attempt, incarnation, count, 0, "", True)]
 
 
 class TestAssembler:
-    """A caller gets its own answer, whole, or hears that it broke."""
+    """A caller receives its own complete answer or an error."""
 
     def test_in_order(self):
         assembler = Assembler("r", 1, 7, 0)
@@ -54,7 +54,7 @@
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
     def test_any_crossing_gives_a_prefix_or_the_whole(self, data):
-        """Chunks of an abandoned attempt, of a restarted engine and of others cross ours."""
+        """Chunks of an abandoned attempt, a restarted engine and another request are mixed in."""
         ours = chunks()
         foreign = chunks(attempt=2) + chunks(incarnation=8) + chunks(request="q")
         extra = data.draw(st.lists(st.sampled_from(ours + foreign), max_size=12))
@@ -82,7 +82,7 @@
 
 
 class TestPrefixes:
-    """Equal names mean equal prefixes."""
+    """Equal hashes mean equal prefixes."""
 
     def test_names_follow_the_whole_prefix(self):
         block = BLOCK_TOKENS * CHARACTERS_PER_TOKEN
