--- a/siskinspoke/transport/__init__.py
+++ b/siskinspoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: HTTP servers and clients, datagrams, and links between replicas."""
+"""Transports: HTTP servers and clients, datagrams, framed streams and links between replicas."""
--- a/siskinspoke/transport/calls.py
+++ b/siskinspoke/transport/calls.py
@@ -1,8 +1,8 @@
-"""Small calls between machines over HTTP: a whole body in, a whole body out.
+"""A minimal HTTP server for small requests and answers that fit into memory.
 
-Served on the connections of the transparent path.  A registry answers an announcement of each
-server about every second; quart on hypercorn needs several times the processor time for one, and
-much of a small VM's start and memory to load.
+It uses the HTTP/1.1 connections of the gateway. A registry answers an announcement of each server
+about every second. Quart on Hypercorn needs several times the CPU time per request, and makes up
+much of a small VM's startup time and memory.
 """
 
 from collections.abc import Awaitable, Callable
@@ -13,16 +13,16 @@
 from siskinspoke.transport.http1 import BadRequestError, ClientConnection, Headers
 
 HEADER_BYTES = 8_192
-# A caller asks every few seconds; one that says nothing for longer is gone.
+# Clients send a request every few seconds; idle connections are closed after this time.
 IDLE_SECONDS = 30.0
-# Methods whose answers have a body of their own, and nothing but an answer.
+# Methods whose answer has a body and leaves the connection an HTTP connection.
 METHODS = frozenset({"GET", "POST", "PUT", "DELETE"})
-# Of the listening socket: servers announce themselves all at once after a loss of all VMs.
+# After a restart of all VMs, all servers connect at once.
 BACKLOG = 1_024
 
 
 class Call(NamedTuple):
-    """One request; ``path`` is without its query."""
+    """A request; ``path`` has no query string."""
 
     method: str
     path: str
@@ -30,7 +30,7 @@
 
 
 class Reply(NamedTuple):
-    """One answer; an empty ``content_type`` names none."""
+    """An answer; an empty ``content_type`` omits the header."""
 
     status: int
     body: bytes = b""
@@ -38,7 +38,7 @@
 
 
 class Bounds(NamedTuple):
-    """How large a body may be, and how long it may take to come."""
+    """Limits on the size of a request body and on the time to receive it."""
 
     body_bytes: int
     body_seconds: float
@@ -50,7 +50,7 @@
 async def serve_calls(
     answer: Answer, bounds: Bounds, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve calls forever."""
+    """Serve calls until cancelled."""
 
     async def serve_one(stream: trio.SocketStream) -> None:
         connection = ClientConnection(stream, HEADER_BYTES)
@@ -58,14 +58,14 @@
             while await _serve_call(answer, bounds, connection):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError, BadRequestError):
-            # The caller has gone or speaks no HTTP; it sees a closed connection.
+            # The client has disconnected or sent invalid HTTP; its connection is closed.
             return
         except Exception as error:
-            # A request that nobody expects, or a fault of ours, must not end the VM.  The library
-            # is loaded only here: no other call needs it.
+            # An unexpected request or a bug must not end the process. Loguru is imported only here
+            # because nothing else in this module needs it.
             from loguru import logger
 
-            logger.error("a call's connection failed: {!r}", error)
+            logger.error("unhandled error on an HTTP connection: {!r}", error)
         finally:
             await connection.close()
 
@@ -73,7 +73,7 @@
 
 
 async def _serve_call(answer: Answer, bounds: Bounds, connection: ClientConnection) -> bool:
-    """Answer one call; False when the connection is over."""
+    """Answer one call; return False if the connection must be closed."""
     came = False
     with trio.move_on_after(IDLE_SECONDS):
         came = await connection.wait_for_request()
--- a/siskinspoke/transport/datagrams.py
+++ b/siskinspoke/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Sealed datagrams between processes."""
+"""Authenticated UDP datagrams between processes."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class DatagramPort:
-    """Own one UDP socket: send sealed messages, hand received ones to a handler."""
+    """A UDP socket that sends sealed messages and passes received ones to a handler."""
 
     def __init__(self, socket: trio.socket.SocketType, key: bytes, counters: Counters):
         self._socket = socket
@@ -22,11 +22,11 @@
         self._counters = counters
 
     async def send(self, item: Any, host: str, port: int) -> None:
-        """Send one message; a message that cannot be sent is counted and dropped."""
+        """Send a message; it is counted and dropped if sending fails."""
         await self.send_to_all(item, [(host, port)])
 
     async def send_to_all(self, item: Any, addresses: Iterable[tuple[str, int]]) -> None:
-        """Send one message to several addresses, encoded once."""
+        """Send a message to several addresses, encoding it once."""
         data = seal(self._key, encode_message(item))
         for address in addresses:
             self._counters.count("datagram.bytes_sent", len(data))
@@ -36,12 +36,12 @@
                 self._counters.count("datagram.send_failed")
 
     async def receive_forever(self, handle: Handler) -> None:
-        """Hand every authentic message to ``handle``; count and drop the others."""
+        """Pass every authentic message to ``handle``; count and drop the others."""
         while True:
             try:
                 data, _address = await self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
-                # An ICMP refusal of an earlier send surfaces here; the port itself is sound.
+                # An ICMP error for an earlier send is reported here; the socket remains usable.
                 self._counters.count("datagram.receive_failed")
                 continue
             self._counters.count("datagram.bytes_received", len(data))
@@ -57,7 +57,7 @@
 
 
 async def open_datagram_port(host: str, port: int, key: bytes, counters: Counters) -> DatagramPort:
-    """Bind a UDP socket and return its port; port 0 lets the system choose."""
+    """Bind a UDP socket; with port 0 the operating system chooses a free port."""
     socket = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
     await socket.bind((host, port))
     return DatagramPort(socket, key, counters)
--- a/siskinspoke/transport/early.py
+++ b/siskinspoke/transport/early.py
@@ -1,9 +1,9 @@
-"""Listen on the public address before the rest of the program is loaded.
+"""Listen on the public address before the rest of the program is imported.
 
-An entry VM takes 0.3 to 0.5 s to load, and longer where all VMs of a site start at once.  Callers
-who come in that time are refused by its machine, and most try only once more; connections that
-wait in the queue of a listener are served as soon as there is a configuration.  So this module
-needs only what the interpreter has, and loads in some milliseconds.
+The imports of an entry VM take 0.3 to 0.5 s, and longer if all VMs of a site start at once. Without
+a listener the kernel refuses connections in that time, and most clients retry only once.
+Connections in the listener's queue are served as soon as there is a configuration. This module
+therefore imports only the standard library, and loads within a few milliseconds.
 """
 
 import json
@@ -16,15 +16,15 @@
 FILE_FLAG = "--vm_file="
 PUBLIC = "public"
 
-# The listener of this process until the server of clients takes it over.
+# The listener of this process until the client server takes it over.
 _early: socket.socket | None = None
 
 
 def listen_early(arguments: list[str]) -> None:
-    """Listen on the public address that the settings file names, if it names one.
+    """Listen on the public address in the settings file, if there is one.
 
-    Whatever is wrong with the file or the address is said by the command itself, which reads and
-    binds again.
+    Errors in the file or the address are left to the command, which reads and binds again and
+    reports them.
     """
     global _early
     address = _public_address(arguments)
@@ -42,7 +42,7 @@
 
 
 def take_early(host: str, port: int) -> socket.socket | None:
-    """Return the listener of an address, once, or None where there is none."""
+    """Return the early listener of an address and release it, or None if there is none."""
     global _early
     if _early is None or _early.getsockname() != (host, port):
         return None
--- a/siskinspoke/transport/frames.py
+++ b/siskinspoke/transport/frames.py
@@ -1,4 +1,4 @@
-"""Sealed messages in frames on a byte stream: a length, a seal, a body."""
+"""Framing of sealed messages on a byte stream: length, seal, body."""
 
 import zlib
 from collections.abc import AsyncIterator, Iterable
@@ -12,18 +12,18 @@
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 256_000_000
 READ_BYTES = 262_144
-# Messages over this size are packed; configurations shrink to a sixth.  A plain message begins with
-# a bracket.
+# Messages over this size are compressed; configurations shrink to a sixth. The first byte of a
+# zlib stream is "x", that of an uncompressed message a bracket.
 PACKED_FROM_BYTES = 4_096
 PACKING_LEVEL = 1
 PACKED_MARK = b"x"
-# A write may take this long, and longer for each byte of a large one (10 MB a second).
+# A write times out after this time, plus the time for its size at 10 MB/s.
 WRITE_SECONDS = 1.0
 BYTES_PER_SECOND = 10_000_000
 
 
 def frame_of(key: bytes, item: Any) -> bytes:
-    """Return the frame of one message."""
+    """Encode a message as a frame."""
     message = encode_message(item)
     if len(message) > PACKED_FROM_BYTES:
         message = zlib.compress(message, PACKING_LEVEL)
@@ -32,19 +32,19 @@
 
 
 def open_frame(key: bytes, frame: bytes) -> Result[Any, str]:
-    """Return the message of a frame, or why it is refused."""
+    """Decode a frame without its length prefix; return the reason if it is invalid."""
     message = unseal(key, frame)
     if message is None:
         return Error("seal")
     if message.startswith(PACKED_MARK):
-        # Only who holds the key can have packed it, so its size is one of ours.
+        # The sender holds the key, so the decompressed size needs no limit.
         message = zlib.decompress(message)
     decoded = decode_message(message)
     return decoded if decoded.is_ok() else Error("message")
 
 
 def take_frame(buffered: bytearray) -> bytes | None:
-    """Cut the next whole frame off a buffer."""
+    """Remove the next complete frame from a buffer and return it without its length prefix."""
     if len(buffered) < LENGTH_BYTES:
         return None
     length = int.from_bytes(buffered[:LENGTH_BYTES], "big")
@@ -58,7 +58,7 @@
 
 
 async def send_frames(stream: trio.SocketStream, frames: Iterable[bytes]) -> int:
-    """Send frames within a bounded time and return their size."""
+    """Send frames, with a timeout, and return their total size in bytes."""
     data = b"".join(frames)
     with trio.fail_after(WRITE_SECONDS + len(data) / BYTES_PER_SECOND):
         await stream.send_all(data)
@@ -66,7 +66,7 @@
 
 
 async def frames_from(stream: trio.SocketStream, silent_seconds: float) -> AsyncIterator[bytes]:
-    """Yield whole frames until the peer closes; raise TooSlowError when it is silent."""
+    """Yield frames until the peer closes; raise TooSlowError if it sends nothing for too long."""
     buffered = bytearray()
     while True:
         with trio.fail_after(silent_seconds):
--- a/siskinspoke/transport/http.py
+++ b/siskinspoke/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP by quart on hypercorn and by httpx, with the defaults that suit long streams."""
+"""HTTP servers (Quart on Hypercorn) and clients (HTTPX) configured for long streams."""
 
 from typing import NamedTuple
 
@@ -20,7 +20,7 @@
 
 
 class HttpServer(NamedTuple):
-    """An application and where it listens."""
+    """An application, its listening address and its shutdown timeout."""
 
     app: QuartTrio
     host: str
@@ -29,10 +29,10 @@
 
 
 def make_app(name: str, max_body_bytes: int, body_seconds: float) -> QuartTrio:
-    """Return an application that never cuts a healthy stream.
+    """Return an application without a limit on the duration of responses.
 
-    Quart's RESPONSE_TIMEOUT cuts any answer after 60 s, however well it flows; the deadline
-    of the request bounds it here instead.
+    Quart's RESPONSE_TIMEOUT would end every response after 60 s, also one that makes progress. The
+    deadline of the request limits it instead.
     """
     app = QuartTrio(name)
     app.config["RESPONSE_TIMEOUT"] = None
@@ -60,13 +60,13 @@
 
 async def _internal(error) -> Response:
     logger.error("request failed: {!r}", getattr(error, "original_exception", error))
-    return failure_response(Failure(ResultCode.INTERNAL, "a fault of this VM"))
+    return failure_response(Failure(ResultCode.INTERNAL, "internal error on this VM"))
 
 
 async def serve(server: HttpServer, shutdown: trio.Event, task_status=trio.TASK_STATUS_IGNORED):
-    """Serve until ``shutdown`` is set, then let open answers finish.
+    """Serve until ``shutdown`` is set, then let open responses finish.
 
-    Hypercorn's graceful_timeout is 3 s by default, which cuts longer streams at shutdown.
+    Hypercorn's graceful_timeout defaults to 3 s, which would end longer streams at shutdown.
     """
     config = Config()
     config.bind = [f"{server.host}:{server.port}"]
@@ -82,13 +82,13 @@
 
 
 def make_client(keep_alive: bool = True, local_host: str | None = None) -> httpx.AsyncClient:
-    """Return a client without a shared pool limit and without default read timeouts.
+    """Return a client without a limit on connections and without default read timeouts.
 
-    A pool limit makes short requests wait for long streams, so admission bounds the streams
-    instead.  Every call bounds its own time by the deadline of its request.  Without
-    keep-alive each request has a fresh connection, so none meets a stale one after its write.
-    Peers are plain HTTP, so no certificates are loaded (20 ms for each client).
-    ``local_host`` is the VM's own address, so that peers see which VM calls.
+    With a limit on connections, short requests would wait for long streams; admission limits the
+    streams instead. Every caller applies the deadline of its request. Without keep-alive each
+    request has a new connection, so none is written to a connection that the server has closed.
+    Peers use plain HTTP, so no certificates are loaded, which takes 20 ms per client.
+    ``local_host`` is the VM's own address, which identifies it to peers.
     """
     limits = httpx.Limits(
         max_connections=None, max_keepalive_connections=64 if keep_alive else 0, keepalive_expiry=4
@@ -101,12 +101,12 @@
 
 
 def json_response(document, status: int = 200, headers: dict | None = None) -> Response:
-    """Return a JSON response of any value the codec knows."""
+    """Return a JSON response with any value that msgspec can encode."""
     return Response(msgspec.json.encode(document), status, headers, content_type=JSON_TYPE)
 
 
 def failure_response(failure: Failure) -> Response:
-    """Return the response of a failure, with Retry-After where coming back helps."""
+    """Return the response for a failure, with Retry-After if the failure sets it."""
     headers = {}
     if failure.retry_after_ms is not None:
         headers["Retry-After"] = str(-(-failure.retry_after_ms // 1000))
--- a/siskinspoke/transport/http1.py
+++ b/siskinspoke/transport/http1.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 on trio with exact control of each connection, by h11.
+"""HTTP/1.1 connections on Trio and h11, with full control of each connection.
 
-The transparent path needs what quart on hypercorn and httpx do not give: to see a client go
-while its request waits, to know whether a backend server can have read a request, to notice
-bytes that belong to no request before they reach a client, and to cut an answer so that it
-looks cut.  h11 only parses and frames, so it leaves all of that here.
+The gateway needs what Quart on Hypercorn and HTTPX do not offer: detecting that a client
+disconnects while its request waits, knowing whether a backend server may have read a request,
+detecting bytes that belong to no request before they reach a client, and aborting an answer so that
+the client can tell. h11 only parses and frames messages and leaves all of this to the caller.
 """
 
 import select
@@ -15,14 +15,14 @@
 from siskinspoke.transport.sockets import reset, tune
 
 READ_BYTES = 65_536
-# Bytes that a client may send ahead of its answer before they are left in the socket.
+# How many bytes of pipelined requests are buffered; further ones stay in the socket's buffer.
 EARLY_BYTES = 65_536
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class BadRequestError(Exception):
-    """A client's request cannot be served: ``status`` says why."""
+    """A client's request is invalid; ``status`` is the HTTP status, 0 if none can be sent."""
 
     def __init__(self, status: int, message: str):
         super().__init__(message)
@@ -30,9 +30,10 @@
 
 
 class PeerError(Exception):
-    """A backend server's connection failed.
+    """The connection to a backend server failed.
 
-    ``began`` tells whether any answer came, ``closed`` whether the server ended the connection.
+    ``began`` tells whether part of an answer was received, ``closed`` whether the server closed the
+    connection.
     """
 
     def __init__(self, message: str, began: bool = False, closed: bool = False):
@@ -42,7 +43,7 @@
 
 
 class RequestHead(NamedTuple):
-    """The first part of a request."""
+    """The request line and headers of a request."""
 
     method: str
     target: str
@@ -50,7 +51,7 @@
 
 
 class AnswerHead(NamedTuple):
-    """The first part of an answer; ``framed`` means that its end can be told from a cut."""
+    """Status and headers of an answer; ``framed`` tells whether truncation can be detected."""
 
     status: int
     headers: Headers
@@ -58,7 +59,7 @@
 
 
 class ClientConnection:
-    """One client's connection, at the server side."""
+    """The server side of a client's connection."""
 
     def __init__(self, stream: trio.SocketStream, max_header_bytes: int):
         self._stream = stream
@@ -68,7 +69,7 @@
         self._pipelined = False
 
     async def wait_for_request(self) -> bool:
-        """Wait for the first byte of the next request; False when the client has closed."""
+        """Wait for the first byte of a request; return False if the client has closed."""
         if self._early or self._pipelined:
             return True
         data = await self._receive()
@@ -101,12 +102,12 @@
         except h11.RemoteProtocolError as error:
             raise BadRequestError(error.error_status_hint or 400, str(error)) from error
         if not isinstance(event, h11.Request):
-            raise BadRequestError(0, "no request came")
+            raise BadRequestError(0, "no request received")
         method, target = event.method.decode("ascii"), event.target.decode("latin-1")
         return RequestHead(method, target, list(event.headers.raw_items()))
 
     async def read_body(self, limit: int) -> bytes:
-        """Read the whole body of the request."""
+        """Read the whole body of the request; raise BadRequestError if it exceeds ``limit``."""
         if self._h11.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             await self._send(self._h11.send(go_on))
@@ -116,13 +117,13 @@
                 parts.append(bytes(event.data))
                 size += len(event.data)
                 if size > limit:
-                    raise BadRequestError(413, f"the body is over {limit} bytes")
+                    raise BadRequestError(413, f"the body exceeds {limit} bytes")
         except h11.RemoteProtocolError as error:
             raise BadRequestError(error.error_status_hint or 400, str(error)) from error
         return b"".join(parts)
 
     async def watch(self, gone: trio.CancelScope) -> None:
-        """Cancel a scope once the client has closed; keep what it sends ahead meanwhile."""
+        """Cancel a scope once the client has closed; buffer pipelined requests until then."""
         while len(self._early) < EARLY_BYTES:
             data = await self._receive()
             if not data:
@@ -132,12 +133,12 @@
             self._early += data
 
     async def send_head(self, status: int, headers: Headers) -> None:
-        """Begin an answer."""
+        """Send the status line and headers of an answer."""
         head = h11.Response(status_code=status, headers=headers)
         await self._send(self._h11.send(head))
 
     async def send_data(self, data: bytes) -> None:
-        """Send a part of the answer's body."""
+        """Send part of the answer's body."""
         await self._send(self._h11.send(h11.Data(data=data)))
 
     async def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
@@ -149,7 +150,7 @@
         await self._send(data + self._h11.send(h11.EndOfMessage()))
 
     async def end_answer(self) -> None:
-        """Mark the answer as complete."""
+        """Complete the answer."""
         await self._send(self._h11.send(h11.EndOfMessage()))
 
     async def _send(self, data: bytes | None) -> None:
@@ -158,10 +159,10 @@
         try:
             await self._stream.send_all(data)
         except trio.BrokenResourceError as error:
-            raise trio.BrokenResourceError("the client is gone") from error
+            raise trio.BrokenResourceError("the client has disconnected") from error
 
     def next_cycle(self) -> bool:
-        """Make ready for another request; False where the connection must end."""
+        """Prepare for another request; return False if the connection must be closed."""
         if self._ended or self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE:
@@ -171,7 +172,7 @@
         return True
 
     def cut(self) -> None:
-        """Reset the connection, so that an unfinished answer cannot look whole."""
+        """Reset the connection, so that a truncated answer cannot look complete."""
         reset(self._stream)
 
     async def close(self) -> None:
@@ -180,7 +181,7 @@
 
 
 class ServerConnection:
-    """One connection to a backend server, at the client side."""
+    """The client side of a connection to a backend server."""
 
     def __init__(self, stream: trio.SocketStream, now: float):
         self._stream = stream
@@ -192,7 +193,7 @@
         self.idle = False
 
     async def send_request(self, head: RequestHead, body: bytes) -> None:
-        """Send a whole request; ``body_sent`` is False until all of it has left."""
+        """Send a whole request; ``_body_sent`` stays False if not all of it was written."""
         self.uses += 1
         self.idle = False
         self._body_sent = False
@@ -208,7 +209,7 @@
         try:
             await self._stream.send_all(data)
         except trio.BrokenResourceError:
-            # The server may have answered before it closed; what it said is worth reading.
+            # The server may have sent an answer before it closed, which is still readable.
             return
         self._body_sent = True
 
@@ -224,12 +225,12 @@
             try:
                 data = await self._stream.receive_some(READ_BYTES)
             except trio.BrokenResourceError as error:
-                # An answer without a length ends with its connection; a reset is not its end.
+                # A close ends an answer without a length; a reset does not.
                 raise PeerError("the server reset the connection", closed=True) from error
             self._h11.receive_data(data)
 
     async def read_head(self) -> AnswerHead:
-        """Read the head of the answer."""
+        """Read status and headers of the answer."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
@@ -242,7 +243,7 @@
             return AnswerHead(event.status_code, headers, framed)
 
     async def read_data(self) -> bytes | None:
-        """Read a part of the answer's body; None at its end."""
+        """Read part of the answer's body; return None at its end."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
@@ -251,11 +252,11 @@
         raise PeerError("the server closed in the middle of its answer", began=True, closed=True)
 
     def finish(self, now: float) -> bool:
-        """Make ready for another request; False where the connection must not be used again.
+        """Prepare for another request; return False if the connection must not be reused.
 
-        It must not if the server closes it, if it answered before it had read the whole
-        request, or if bytes follow the answer: they belong to no request, and the next one
-        would take them for its own answer.
+        It must not be reused if the server closes it, if the server answered before it had read the
+        whole request, or if bytes follow the answer: they belong to no request and would be taken
+        for the answer to the next one.
         """
         if not self._body_sent or self._h11.our_state is not h11.DONE:
             return False
@@ -270,7 +271,7 @@
         return self.idle
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing has arrived on the idle connection, neither bytes nor its end."""
+        """Tell whether the idle connection has received neither data nor a close."""
         poller = select.poll()
         poller.register(self._stream.socket.fileno(), select.POLLIN)
         return not poller.poll(0)
@@ -281,7 +282,7 @@
 
 
 async def connect(host: str, port: int, local_host: str | None, now: float) -> ServerConnection:
-    """Open a connection; the address is in numbers, so that nothing is looked up."""
+    """Open a connection; ``host`` must be an IP address, so that no name is resolved."""
     sock = trio.socket.socket()
     try:
         if local_host is not None:
--- a/siskinspoke/transport/links.py
+++ b/siskinspoke/transport/links.py
@@ -1,7 +1,7 @@
-"""Links between control replicas: sealed messages in frames over TCP, each way its own.
+"""Links between control replicas: framed, sealed messages over one TCP connection per direction.
 
-HTTP would cost a replica 3 ms of CPU for each message; a frame costs a fraction of that, and
-a claim needs several messages.
+HTTP would cost a replica 3 ms of CPU time per message, and a claim takes several messages; a frame
+costs a fraction of that.
 """
 
 import contextlib
@@ -38,10 +38,10 @@
 
 
 class LinkSender:
-    """Own the connection to one peer; messages that cannot leave are dropped and counted.
+    """Send messages to one peer; messages that cannot be sent are counted and dropped.
 
-    Replication repeats what matters, so a full outbox may drop: a message that waited for a
-    cut to heal would be of no use.
+    The replication protocol retransmits, so messages may be dropped when the queue is full. After a
+    partition, messages queued since its start would be of no use.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
 
     @property
     def state(self) -> LinkState:
-        """Return the current state; ``since`` is on trio's clock."""
+        """The current state; ``since`` is a time on Trio's clock."""
         queued = self._receive.statistics().current_buffer_used
         return LinkState(self._connected, self._since, queued)
 
@@ -69,7 +69,7 @@
             self._counters.count("link.dropped")
 
     async def run(self) -> None:
-        """Connect and send forever; after a break, connect anew."""
+        """Send queued messages until cancelled, reconnecting after each failure."""
         while True:
             try:
                 with trio.fail_after(CONNECT_SECONDS):
@@ -92,11 +92,11 @@
             self._connected, self._since = connected, trio.current_time()
 
     async def _watch(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """End the connection when the peer does.
+        """Close the connection when the peer closes it.
 
-        Followers send each other nothing until an election.  Without this the first vote
-        request goes into the connection of a peer that has restarted since, is lost, and the
-        election takes a timeout more.
+        Followers send each other nothing until an election. Without this check, the first vote
+        request would be lost on a connection to a peer that has restarted since, and the election
+        would take another timeout.
         """
         with contextlib.suppress(trio.BrokenResourceError):
             await stream.receive_some(1)
@@ -104,7 +104,7 @@
         scope.cancel()
 
     async def _pump(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Send queued messages until the peer is gone or takes none in time."""
+        """Send queued messages until the connection fails or a write times out."""
         with contextlib.suppress(trio.BrokenResourceError, trio.TooSlowError):
             await self._send_forever(stream)
         scope.cancel()
@@ -121,13 +121,13 @@
         return frame_of(self._key, item)
 
     def _drain(self) -> None:
-        """Drop what has queued up for a peer that cannot be reached."""
+        """Drop the messages queued for an unreachable peer."""
         for _ in receive_queued(self._receive, math.inf):
             self._counters.count("link.dropped")
 
 
 class LinkSet:
-    """Own the links to peers that come and go; a link is opened when it is first asked for."""
+    """Links to a changing set of peers; a link is opened when it is first used."""
 
     def __init__(self, open_link: Callable[[str], LinkSender], nursery: trio.Nursery):
         self._open_link = open_link
@@ -150,13 +150,13 @@
         return {name: link.state for name, (link, _) in self._links.items()}
 
     def keep(self, names: Iterable[str]) -> None:
-        """Close the links to all peers but these."""
+        """Close the links to all peers other than ``names``."""
         for name in self._links.keys() - set(names):
             self._links.pop(name)[1].cancel()
 
 
 class LinkListener:
-    """Hand every authentic message of every peer to a handler."""
+    """Pass every authentic message from any peer to a handler."""
 
     def __init__(self, key: bytes, counters: Counters, handle: Handler):
         self._key = key
@@ -164,7 +164,7 @@
         self._handle = handle
 
     async def serve(self, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen forever."""
+        """Accept connections until cancelled."""
         await trio.serve_tcp(self._read, port, host=host, task_status=task_status)
 
     async def _read(self, stream: trio.SocketStream) -> None:
@@ -180,7 +180,7 @@
             self._counters.count("link.broken")
 
     async def _accept(self, frame: bytes) -> bool:
-        """Handle one frame; False ends the connection of a peer that is not ours."""
+        """Handle one frame; return False, to close the connection, if it is not authentic."""
         opened = open_frame(self._key, frame)
         if opened.is_error():
             self._counters.count(f"link.refused.{opened.error}")
--- a/siskinspoke/transport/pages.py
+++ b/siskinspoke/transport/pages.py
@@ -1,7 +1,7 @@
-"""Small pages for machines: whether a VM takes new clients, and its metrics.
+"""Readiness and metrics pages.
 
-They are served as small calls: the HTTP server library would take more of a small VM's start and
-memory than all else, for two addresses that answer one GET each.
+They use the minimal HTTP server: for two ports that answer one GET each, the full HTTP server
+library would take more of a small VM's startup time and memory than everything else.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
 
 
 class Page(NamedTuple):
-    """One answer."""
+    """The status and body of an answer."""
 
     status: int
     body: bytes = b""
@@ -28,10 +28,10 @@
 
 
 def metrics_pages(counters: Counters, latencies: Latencies) -> Pages:
-    """Return the page of a metrics address."""
+    """Return the pages of a metrics port."""
 
     def metrics() -> Page:
-        # Whoever is not asked for metrics does not load the library that writes them.
+        # The metrics library is imported only in VMs that are asked for metrics.
         from siskinspoke.core.exposition import exposition
 
         return Page(200, exposition(counters, latencies))
@@ -42,7 +42,7 @@
 async def serve_pages(
     pages: Pages, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve pages by path forever."""
+    """Serve pages by path until cancelled."""
 
     async def answer(call: Call) -> Reply:
         make = pages.get(call.path)
--- a/siskinspoke/transport/sockets.py
+++ b/siskinspoke/transport/sockets.py
@@ -1,19 +1,19 @@
-"""What every connection of the system has set, whatever is spoken on it."""
+"""Socket options common to all TCP connections, and connection resets."""
 
 import socket
 
 import trio
 
-# A connection whose peer is cut off without a word is given up after this time with bytes
-# unacknowledged: half of the shortest time in which a leave must be obeyed.  Milliseconds.
+# A connection is closed after this time with unacknowledged data, as when its peer is partitioned.
+# It is half of the shortest time in which a leave must take effect.
 USER_TIMEOUT_MS = 1_000
-# Probes of an idle connection: first after this many seconds, then as often, this many.
+# Keepalive probes on an idle connection: delay of the first and interval, and their number.
 PROBE_IDLE_SECONDS = 1
 PROBE_COUNT = 2
 
 
 def tune(sock) -> None:
-    """Set what makes a silent peer visible and small writes leave at once."""
+    """Set options that detect an unreachable peer and send small writes without delay."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS)
@@ -23,16 +23,16 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Close a connection so that nothing held up in it is delivered later.
+    """Reset a connection, discarding unsent data.
 
-    A plain close would still send what a cut holds back; a server could then run a request
-    long after its caller was told that it failed.
+    After a normal close the kernel would still send that data once a partition heals. The server
+    could then run a request long after its caller was told that it failed.
     """
     linger_none = b"\x01\x00\x00\x00\x00\x00\x00\x00"
     try:
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_none)
     except OSError:
-        # The connection is gone already, which is what was wanted.
+        # The connection is already closed.
         return
     finally:
         stream.socket.close()
--- a/tests/transport/test_calls.py
+++ b/tests/transport/test_calls.py
@@ -1,4 +1,4 @@
-"""Tests of small calls: what is no proper call ends its own connection alone."""
+"""Tests of the minimal HTTP server: an invalid request closes only its own connection."""
 
 import random
 
@@ -23,14 +23,14 @@
 
 
 async def answer(call: Call) -> Reply:
-    """Answer with the call's path."""
+    """Answer with the call's path, or raise an exception for /fault."""
     if call.path == "/fault":
         raise ValueError("a fault")
     return Reply(200, call.path.encode(), "text/plain")
 
 
 async def exchange(port: int, data: bytes) -> bytes:
-    """Send bytes, and return what comes first within a time."""
+    """Send bytes and return the first data received within 1 s."""
     got = b""
     with trio.move_on_after(1.0):
         try:
@@ -43,7 +43,7 @@
 
 
 class TestStrangeCalls:
-    """One strange request ended the server of calls, and the control VM with it."""
+    """Guards against an unusual request that ends the server and with it the control VM."""
 
     @pytest.mark.parametrize("data", [*STRANGE, SOUND.replace(b"/x", b"/fault")])
     def test_others_are_answered(self, data):
--- a/tests/transport/test_early.py
+++ b/tests/transport/test_early.py
@@ -1,4 +1,4 @@
-"""Tests of listening before the program is loaded."""
+"""Tests of listening before the program is imported."""
 
 import json
 import socket
@@ -29,13 +29,13 @@
 
 
 class TestEarly:
-    """Callers who come while an entry VM is loaded wait a moment, and are served."""
+    """Connections made during the imports of an entry VM wait and are served."""
 
     def test_caller_of_that_time_is_served(self, tmp_path):
-        """All entry VMs are killed and started again; a caller connects 0.1 s later.
+        """Guards against refused connections while restarted entry VMs are not listening yet.
 
-        Its machine refused the connection, as nobody listened yet, and its second and last try met
-        the same half a second.
+        A caller that connects 0.1 s after the restart retries only once, within the same half
+        second.
         """
 
         async def run():
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -7,7 +7,7 @@
 
 
 class TestFrames:
-    """What goes in comes out, whatever its size; strangers' frames do not."""
+    """Frames of any size survive a round trip; those sealed with another key are refused."""
 
     @pytest.mark.parametrize("routes", [0, 1, 1_000])
     def test_round_trip(self, routes):
--- a/tests/transport/test_httpx.py
+++ b/tests/transport/test_httpx.py
@@ -1,4 +1,4 @@
-"""What httpx does with servers that misbehave: why the transparent path has a client of its own."""
+"""HTTPX's behaviour with faulty servers, for which the gateway has an HTTP client of its own."""
 
 import httpx
 import trio
@@ -9,7 +9,7 @@
 
 
 class RawServer:
-    """Answer each request with the next of some bytes, and then perhaps with more, later."""
+    """Answer each request with the next of ``answers``; send ``later`` after a delay."""
 
     def __init__(self, *answers: bytes, later: bytes = b"", later_seconds: float = 0.2):
         self._answers = list(answers)
@@ -38,7 +38,7 @@
 
 
 def ask_twice(server: RawServer, pause: float) -> list[str]:
-    """Send two requests, one after the other, and return the bodies."""
+    """Send two requests in sequence and return the bodies."""
     bodies = []
 
     async def run():
@@ -58,29 +58,29 @@
 
 
 class TestHttpx:
-    """An answer that nobody asked for, at once or late, and a close as a request is written."""
+    """Unsolicited answers, immediate or late, and a close while a request is written."""
 
     def test_an_extra_answer_at_once_reaches_the_wrong_caller(self):
-        """A server sends two answers to one request; the next caller gets the second."""
+        """A server sends two answers to one request; the next caller receives the second."""
         server = RawServer(FIRST + EXTRA, RIGHT)
         assert ask_twice(server, 0.1) == ["first", "extra"]
         assert server.connections == 1
 
     def test_a_late_answer_reaches_the_wrong_caller(self):
-        """The second answer comes while the connection is in use again.
+        """The second answer arrives while the connection is in use again.
 
-        The next caller gets it as its own, with nothing to tell: this is why each answer's
-        request id is checked before a byte goes on, which httpx cannot do before it hands over.
+        The next caller cannot tell that it is not its own. The gateway therefore checks the request
+        id of each answer before it forwards any data, which is impossible with HTTPX.
         """
         server = RawServer(FIRST, RIGHT, later=EXTRA)
         assert ask_twice(server, 0.0) == ["first", "extra"]
 
     def test_a_close_as_a_request_is_written_proves_nothing(self):
-        """The server has read the request; the error is the same as if it had not."""
+        """The error is the same whether or not the server has read the request."""
         server = RawServer(FIRST)
         try:
             ask_twice(server, 0.0)
         except* httpx.RemoteProtocolError:
             assert server.requests == 2
         else:
-            raise AssertionError("the second request has no answer")
+            raise AssertionError("the second request was answered")
--- a/tests/transport/test_pages.py
+++ b/tests/transport/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests of the small pages for machines."""
+"""Tests of the readiness and metrics pages."""
 
 import trio
 
@@ -32,7 +32,7 @@
 
 
 class TestPages:
-    """Each page is made anew for each request."""
+    """Pages are generated for each request."""
 
     def test_answers_change_on_one_connection(self):
         status = [200]
