--- a/siskinspoke/control/app.py
+++ b/siskinspoke/control/app.py
@@ -21,38 +21,38 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.entry.internal_app import operator_allowed
 from siskinspoke.protocol.claims import ClaimRequest, LookupRequest, SettleRequest
-from siskinspoke.protocol.sealed_http import SEAL_HEADER, seal_holds
+from siskinspoke.protocol.sealed_http import SEAL_HEADER, verify_seal
 from siskinspoke.transport.http import failure_response, json_response, make_app
 
 MAX_BODY_BYTES = 16_000_000
-BODY_SECONDS = 10.0
-COMMIT_SECONDS = 2.0
+BODY_TIMEOUT_SECONDS = 10.0
+COMMIT_TIMEOUT_SECONDS = 2.0
 MAX_WAIT_MS = 30_000
-OPERATORS_KINDS = (CONFIGURE, ORDER)
+OPERATOR_COMMANDS = (CONFIGURE, ORDER)
 SEALED_PATHS = frozenset({"/v1/claim", "/v1/lookup", "/v1/settle"})
 
 
 class ControlState:
     """The dependencies of a control replica's HTTP interface."""
 
-    def __init__(self, me: ControlVM, settings: Settings, task: ReplicaTask, counters: Counters):
-        self.me = me
+    def __init__(self, vm: ControlVM, settings: Settings, task: ReplicaTask, counters: Counters):
+        self.vm = vm
         self.settings = settings
         self.task = task
         self.counters = counters
-        self.entries_seen: dict[str, tuple[int, float]] = {}
+        self.last_polls: dict[str, tuple[int, float]] = {}
 
 
 def control_app(state: ControlState):
     """Return the application of a control replica."""
-    app = make_app("control", MAX_BODY_BYTES, BODY_SECONDS)
+    app = make_app("control", MAX_BODY_BYTES, BODY_TIMEOUT_SECONDS)
     task = state.task
 
     @app.before_request
-    async def check_sender() -> Response | None:
+    async def authenticate() -> Response | None:
         """Authenticate entry VMs by the seal of the request and operators by their key."""
         path = request.full_path.rstrip("?")
-        if seal_holds(
+        if verify_seal(
             state.settings.internal_key,
             path,
             await request.get_data(),
@@ -71,7 +71,7 @@
 
     async def commit(kind: str, item) -> Response:
         """Propose a command and return its answer, or the failure if it was not committed."""
-        pending = await task.propose(kind, item, COMMIT_SECONDS)
+        pending = await task.propose(kind, item, COMMIT_TIMEOUT_SECONDS)
         if not pending.leader:
             return not_leader()
         if pending.value is None:
@@ -79,7 +79,7 @@
             message = "no majority confirmed the command in time; it may still be committed"
             return failure_response(Failure(ResultCode.NO_QUORUM, message, 1_000))
         answer = pending.value
-        return json_response(answer._asdict() if kind in OPERATORS_KINDS else answer)
+        return json_response(answer._asdict() if kind in OPERATOR_COMMANDS else answer)
 
     def not_leader() -> Response:
         document = Failure(ResultCode.NOT_LEADER, "this replica is not the leader").to_document()
@@ -109,12 +109,12 @@
         if checked.is_error():
             message = "; ".join(str(fault) for fault in checked.error)
             return failure_response(Failure(ResultCode.INVALID_SETTINGS, message))
-        if not task.leads:
+        if not task.is_leader:
             return not_leader()
         return await commit(CONFIGURE, change)
 
     @app.post("/v1/orders")
-    async def give_order() -> Response:
+    async def submit_order() -> Response:
         try:
             order = OrderRequest(**msgspec.json.decode(await request.get_data(), type=OrderBody))
         except msgspec.MsgspecError as error:
@@ -140,7 +140,7 @@
         wait_ms = min(MAX_WAIT_MS, int(request.args.get("wait_ms", "0")))
         name = request.args.get("entry", "")
         if name:
-            state.entries_seen[name] = (after, trio.current_time())
+            state.last_polls[name] = (after, trio.current_time())
         await task.wait_for_version(after, wait_ms / 1000)
         machine = task.machine
         patches = machine.patches_since(after)
@@ -164,8 +164,8 @@
     replica, machine = state.task.replica, state.task.machine
     now = trio.current_time()
     return {
-        "name": state.me.name,
-        "failure_domain": state.me.failure_domain,
+        "name": state.vm.name,
+        "failure_domain": state.vm.failure_domain,
         "role": replica.role.value,
         "role_since_ms": state.task.role_since_ms,
         "term": replica.term,
@@ -178,7 +178,7 @@
         "claims": len(machine.claims),
         "entries": {
             name: {"version": version, "seen_seconds_ago": round(now - at, 1)}
-            for name, (version, at) in state.entries_seen.items()
+            for name, (version, at) in state.last_polls.items()
         },
         "counters": state.counters.totals,
     }
--- a/siskinspoke/control/daemon.py
+++ b/siskinspoke/control/daemon.py
@@ -20,7 +20,7 @@
 from siskinspoke.transport.http import HttpServer, serve
 from siskinspoke.transport.links import LinkListener, LinkSender
 
-GRACEFUL_SECONDS = 2.0
+SHUTDOWN_TIMEOUT_SECONDS = 2.0
 
 
 def _log_event(event: str, **fields: object) -> None:
@@ -29,9 +29,9 @@
 
 async def run_control(settings: Settings, name: str) -> None:
     """Run the control replica called ``name`` until SIGTERM or SIGINT."""
-    me = settings.control_vm(name)
+    vm = settings.control_vm(name)
     counters = counters_for(name, settings.statsd_host, settings.statsd_port)
-    opened = open_store(me.data_folder, name)
+    opened = open_store(vm.data_folder, name)
     if opened.is_error():
         raise FailureError(opened.error)
     store, restored = opened.ok
@@ -40,7 +40,7 @@
         stack.callback(store.close)
         links = {
             peer.name: LinkSender(
-                peer.host, peer.link_port, settings.internal_key, counters, me.host
+                peer.host, peer.link_port, settings.internal_key, counters, vm.host
             )
             for peer in settings.controls
             if peer.name != name
@@ -60,19 +60,21 @@
         )
         task = ReplicaTask(replica, store, links, counters, entries, logger.info, report)
         nursery = await stack.enter_async_context(trio.open_nursery())
-        listener = LinkListener(settings.internal_key, counters, task.hear)
-        await nursery.start(listener.serve, me.host, me.link_port)
+        listener = LinkListener(settings.internal_key, counters, task.receive)
+        await nursery.start(listener.serve, vm.host, vm.link_port)
         for link in links.values():
             nursery.start_soon(link.run)
         nursery.start_soon(task.run)
-        orders = OrderTask(task, counters, settings.control.concurrent_loads, me.host)
+        orders = OrderTask(task, counters, settings.control.concurrent_loads, vm.host)
         nursery.start_soon(orders.run)
-        app = control_app(ControlState(me, settings, task, counters))
-        await nursery.start(serve, HttpServer(app, me.host, me.port, GRACEFUL_SECONDS), shutdown)
-        logger.info("control replica {} listening on {}:{}", name, me.host, me.port)
+        app = control_app(ControlState(vm, settings, task, counters))
+        await nursery.start(
+            serve, HttpServer(app, vm.host, vm.port, SHUTDOWN_TIMEOUT_SECONDS), shutdown
+        )
+        logger.info("control replica {} listening on {}:{}", name, vm.host, vm.port)
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
-        await task.hand_over()
+        await task.transfer_leadership()
         shutdown.set()
         nursery.cancel_scope.cancel()
--- a/siskinspoke/control/feed_hub.py
+++ b/siskinspoke/control/feed_hub.py
@@ -27,30 +27,30 @@
     Renewals,
     Roster,
 )
-from siskinspoke.transport.frames import frame_of, frames_from, open_frame, send_frames
+from siskinspoke.transport.frames import decode_frame, encode_frame, receive_frames, send_frames
 from siskinspoke.transport.sockets import tune
 
 # Followers answer each batch of renewals. One that has not answered for three intervals is dropped,
 # so that confirmations no longer wait for it.
-SILENT_SECONDS = 1.5
+FOLLOWER_TIMEOUT_SECONDS = 1.5
 # How long renewals are batched: a third of the usual announcement interval.
-FLUSH_SECONDS = 0.45
+RENEWAL_INTERVAL_SECONDS = 0.45
 # Rosters are repeated because followers drop VMs that no recent roster lists.
-ROSTER_SECONDS = 5.0
+ROSTER_INTERVAL_SECONDS = 5.0
 # Followers that connect together, as after a restart of all VMs, share one roster.
-JOINS_SECONDS = 0.05
+JOIN_BATCH_SECONDS = 0.05
 # New servers are announced in batches, because each message takes a write for every follower.
-ARRIVALS_SECONDS = 0.1
+NEW_SERVER_BATCH_SECONDS = 0.1
 OUTBOX_FRAMES = 1_024
 # Every entry VM receives the renewals of services with at most this many servers. If the fleet is
 # divided into cells, it receives those of larger services for its own failure domain only, because
 # it tracks no other servers of theirs.
-FEW_SERVERS = 24
+SMALL_SERVICE_SERVERS = 24
 # Hubs send a configuration to a follower one after another, this far apart: the network latency and
 # the transfer of 100 KB on a small VM's link. If five of six hubs are down, the last one sends
 # after 0.75 s; a change must be in force within 2 s.
-TURN_SECONDS = 0.15
-LAST_TURN_SECONDS = 0.75
+PUBLICATION_STAGGER_SECONDS = 0.15
+MAX_PUBLICATION_DELAY_SECONDS = 0.75
 
 
 class Held(NamedTuple):
@@ -63,16 +63,16 @@
 class Session:
     """The connection of one follower.
 
-    ``version`` is the latest version that the follower has confirmed, ``brought`` the latest one
-    sent over this connection.
+    ``confirmed_version`` is the latest configuration version that the follower has confirmed,
+    ``sent_version`` the latest one sent over this connection.
     """
 
     def __init__(self, follow: Follow):
         self.follow = follow
-        self.version = follow.version
-        self.brought = 0
-        self.confirmed = 0
-        self.outbox, self.pending = trio.open_memory_channel[bytes](OUTBOX_FRAMES)
+        self.confirmed_version = follow.version
+        self.sent_version = 0
+        self.confirmed_number = 0
+        self.outbox, self.queued_frames = trio.open_memory_channel[bytes](OUTBOX_FRAMES)
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
 
@@ -86,7 +86,7 @@
         failure_domain: str,
         directory: Directory,
         controls: Callable[[], list[str]],
-        held: Callable[[], Held],
+        current_configuration: Callable[[], Held],
         key: bytes,
         counters: Counters,
         log: DecisionLog,
@@ -95,42 +95,42 @@
         self._failure_domain = failure_domain
         self._directory = directory
         self._controls = controls
-        self._held = held
+        self._current_configuration = current_configuration
         self._key = key
         self._counters = counters
         self._log = log
         self._sessions: set[Session] = set()
-        self._number = 0
+        self._last_number = 0
         self._renewed: dict[str, Announcement] = {}
         self._control_domains = {host: failure_domain}
-        self._confirmation = trio.Event()
+        self._confirmation_changed = trio.Event()
         self._entries = KnownEntries()
         self._last_roster: Roster | None = None
-        self._joins = trio.Event()
-        self._published: tuple[int, bytes] = (0, b"")
-        self._untold: list[Announcement] = []
-        self._arrivals = trio.Event()
+        self._follower_joined = trio.Event()
+        self._encoded_publication: tuple[int, bytes] = (0, b"")
+        self._queued_announcements: list[Announcement] = []
+        self._announcements_ready = trio.Event()
         # A control VM sends no requests to servers, so it has no crash reports of its own.
         self._crashes = CrashWatch(lambda news: None, counters, log)
 
     async def serve(self, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Serve followers until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._flush_forever)
-            nursery.start_soon(self._tell_joins_forever)
-            nursery.start_soon(self._tell_arrivals_forever)
+            nursery.start_soon(self._send_periodically)
+            nursery.start_soon(self._send_roster_changes)
+            nursery.start_soon(self._send_queued_announcements)
             await nursery.start(self._listen, host, port)
             task_status.started()
 
     async def _listen(self, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        await trio.serve_tcp(self._serve_one, port, host=host, task_status=task_status)
+        await trio.serve_tcp(self._serve_connection, port, host=host, task_status=task_status)
 
-    async def _serve_one(self, stream: trio.SocketStream) -> None:
+    async def _serve_connection(self, stream: trio.SocketStream) -> None:
         session = None
         try:
             tune(stream.socket)
-            async for frame in frames_from(stream, SILENT_SECONDS):
-                opened = open_frame(self._key, frame)
+            async for frame in receive_frames(stream, FOLLOWER_TIMEOUT_SECONDS):
+                opened = decode_frame(self._key, frame)
                 if opened.is_error():
                     self._counters.count(f"feed.refused.{opened.error}")
                     return
@@ -140,9 +140,9 @@
                         async with trio.open_nursery() as nursery:
                             session.scope = nursery.cancel_scope
                             session.nursery = nursery
-                            nursery.start_soon(self._write, session, stream)
-                            self._begin(session)
-                            await self._read(session, stream)
+                            nursery.start_soon(self._send_queued_frames, session, stream)
+                            self._start_session(session)
+                            await self._process_messages(session, stream)
                             nursery.cancel_scope.cancel()
                         return
                     case _:
@@ -150,76 +150,76 @@
         except (OSError, trio.BrokenResourceError, trio.TooSlowError):
             self._counters.count("feed.broken")
         finally:
-            self._end(session)
+            self._end_session(session)
 
-    async def _read(self, session: Session, stream: trio.SocketStream) -> None:
+    async def _process_messages(self, session: Session, stream: trio.SocketStream) -> None:
         """Process a follower's messages until it disconnects or times out."""
         try:
-            async for frame in frames_from(stream, SILENT_SECONDS):
-                opened = open_frame(self._key, frame)
+            async for frame in receive_frames(stream, FOLLOWER_TIMEOUT_SECONDS):
+                opened = decode_frame(self._key, frame)
                 match opened.default_value(None):
                     case Receipt(number=number):
-                        if number > session.confirmed:
-                            session.confirmed = number
-                            self._wake()
+                        if number > session.confirmed_number:
+                            session.confirmed_number = number
+                            self._notify_waiters()
                     case Holds(version=version):
-                        session.version = max(session.version, version)
+                        session.confirmed_version = max(session.confirmed_version, version)
                     case CrashNews() as news:
-                        self.hear_crashes(news, session)
+                        self.handle_crash_news(news, session)
                     case _:
                         self._counters.count("feed.refused.kind")
                         return
         except (OSError, trio.BrokenResourceError, trio.TooSlowError):
             self._counters.count("feed.broken")
 
-    async def _write(self, session: Session, stream: trio.SocketStream) -> None:
+    async def _send_queued_frames(self, session: Session, stream: trio.SocketStream) -> None:
         try:
-            async for frame in session.pending:
-                frames = [frame, *receive_queued(session.pending, OUTBOX_FRAMES - 1)]
+            async for frame in session.queued_frames:
+                frames = [frame, *receive_queued(session.queued_frames, OUTBOX_FRAMES - 1)]
                 sent = await send_frames(stream, frames)
                 self._counters.count("feed.bytes_sent", sent)
         except (OSError, trio.BrokenResourceError, trio.TooSlowError):
             self._counters.count("feed.broken")
             session.scope.cancel()
 
-    def _begin(self, session: Session) -> None:
+    def _start_session(self, session: Session) -> None:
         """Send the whole state to a new follower, including servers that have left."""
         self._sessions.add(session)
         follow = session.follow
         if follow.peer_port:
-            self._entries.joined(_peer_of(follow))
+            self._entries.joined(_entry_peer(follow))
         else:
             self._control_domains[follow.host] = follow.failure_domain
-        self._joins.set()
+        self._follower_joined.set()
         self._log.note("follower.joined", follower=follow.name, host=follow.host)
         self._send(session, self._current_roster())
-        held = self._held()
-        if held.document is not None:
-            self._offer(session, held)
-        known = self._directory.all_known()
-        recalled = [record.announcement for record in known if record.recalled]
-        if recalled:
-            self._send(session, Remembered(recalled))
-        heard = [record.announcement for record in known if not record.recalled]
-        self._send(session, News(self._number, heard))
+        configuration = self._current_configuration()
+        if configuration.document is not None:
+            self._schedule_publication(session, configuration)
+        records = self._directory.all_known()
+        restored = [record.announcement for record in records if record.recalled]
+        if restored:
+            self._send(session, Remembered(restored))
+        registered = [record.announcement for record in records if not record.recalled]
+        self._send(session, News(self._last_number, registered))
         for news in self._crashes.all_news(_now_ms()):
             self._send(session, news)
 
-    def _end(self, session: Session | None) -> None:
+    def _end_session(self, session: Session | None) -> None:
         if session is None or session not in self._sessions:
             return
         self._sessions.discard(session)
         if session.follow.peer_port:
-            self._entries.left(_peer_of(session.follow), trio.current_time())
+            self._entries.left(_entry_peer(session.follow), trio.current_time())
         self._log.note("follower.lost", follower=session.follow.name, host=session.follow.host)
-        self._wake()
+        self._notify_waiters()
 
-    def _wake(self) -> None:
-        event, self._confirmation = self._confirmation, trio.Event()
+    def _notify_waiters(self) -> None:
+        event, self._confirmation_changed = self._confirmation_changed, trio.Event()
         event.set()
 
     def _send(self, session: Session, item: Any) -> None:
-        self._send_frame(session, frame_of(self._key, item))
+        self._send_frame(session, encode_frame(self._key, item))
 
     def _send_frame(self, session: Session, frame: bytes) -> None:
         """Queue a frame; if the queue is full, disconnect the follower so that it resyncs."""
@@ -230,7 +230,7 @@
             session.scope.cancel()
 
     def _send_all(self, item: Any) -> None:
-        frame = frame_of(self._key, item)
+        frame = encode_frame(self._key, item)
         for session in list(self._sessions):
             self._send_frame(session, frame)
 
@@ -248,48 +248,52 @@
     def publish(self, version: int, document: dict) -> None:
         """Send a configuration to all followers that lack it."""
         for session in list(self._sessions):
-            self._offer(session, Held(version, document))
+            self._schedule_publication(session, Held(version, document))
 
-    def _offer(self, session: Session, held: Held) -> None:
+    def _schedule_publication(self, session: Session, configuration: Held) -> None:
         """Send a configuration after this hub's delay, unless the follower has it by then.
 
         If six hubs sent a configuration of 100 KB at once, the copies would fill a follower's
         10 Mbit/s link for half a second at every change. A follower without a configuration cannot
         serve its callers, so all hubs send to it at once.
         """
-        if session.version >= held.version:
+        if session.confirmed_version >= configuration.version:
             return
-        turn = self._turn(session.follow) if session.version else 0
-        if not turn:
-            self._bring(session, held)
+        rank = self._publication_rank(session.follow) if session.confirmed_version else 0
+        if not rank:
+            self._send_publication(session, configuration)
             return
-        seconds = min(turn * TURN_SECONDS, LAST_TURN_SECONDS)
-        session.nursery.start_soon(self._bring_later, session, seconds)
+        seconds = min(rank * PUBLICATION_STAGGER_SECONDS, MAX_PUBLICATION_DELAY_SECONDS)
+        session.nursery.start_soon(self._send_publication_later, session, seconds)
 
-    async def _bring_later(self, session: Session, seconds: float) -> None:
+    async def _send_publication_later(self, session: Session, seconds: float) -> None:
         """Send the newest configuration after a delay, if the follower still lacks it.
 
         The newest is read after the delay: in a series of changes, each configuration is replaced
         by the next one before its delay ends.
         """
         await trio.sleep(seconds)
-        self._bring(session, self._held())
+        self._send_publication(session, self._current_configuration())
 
-    def _bring(self, session: Session, held: Held) -> None:
-        if held.document is None or held.version <= max(session.version, session.brought):
+    def _send_publication(self, session: Session, configuration: Held) -> None:
+        if configuration.document is None or configuration.version <= max(
+            session.confirmed_version, session.sent_version
+        ):
             return
-        session.brought = held.version
-        self._send_frame(session, self._publication(held))
+        session.sent_version = configuration.version
+        self._send_frame(session, self._encode_publication(configuration))
 
-    def _publication(self, held: Held) -> bytes:
+    def _encode_publication(self, configuration: Held) -> bytes:
         """Return the frame of a configuration, encoded once for all followers."""
-        version, frame = self._published
-        if version != held.version:
-            frame = frame_of(self._key, Publication(held.version, held.document))
-            self._published = (held.version, frame)
+        version, frame = self._encoded_publication
+        if version != configuration.version:
+            frame = encode_frame(
+                self._key, Publication(configuration.version, configuration.document)
+            )
+            self._encoded_publication = (configuration.version, frame)
         return frame
 
-    def _turn(self, follow: Follow) -> int:
+    def _publication_rank(self, follow: Follow) -> int:
         """Return this hub's rank in the order in which hubs send to a follower.
 
         All hubs compute the same order. Hubs in the follower's own failure domain come first: with
@@ -305,38 +309,38 @@
 
         Queued announcements are sent first, so that a server's leave cannot overtake its join.
         """
-        told, self._untold = [*self._untold, *announcements], []
-        self._number += 1
-        self._send_all(News(self._number, told))
-        return self._number
+        batch, self._queued_announcements = [*self._queued_announcements, *announcements], []
+        self._last_number += 1
+        self._send_all(News(self._last_number, batch))
+        return self._last_number
 
     def tell_soon(self, announcements: list[Announcement]) -> None:
         """Queue announcements of new servers, to be sent to all followers in one batch.
 
         No caller waits for them, and after a restart of all VMs all servers register at once.
         """
-        self._untold += announcements
-        self._arrivals.set()
+        self._queued_announcements += announcements
+        self._announcements_ready.set()
 
-    async def _tell_arrivals_forever(self) -> None:
+    async def _send_queued_announcements(self) -> None:
         while True:
-            await self._arrivals.wait()
-            await trio.sleep(ARRIVALS_SECONDS)
-            self._arrivals = trio.Event()
-            if self._untold:
+            await self._announcements_ready.wait()
+            await trio.sleep(NEW_SERVER_BATCH_SECONDS)
+            self._announcements_ready = trio.Event()
+            if self._queued_announcements:
                 self.tell([])
 
     def recall(self, announcements: list[Announcement]) -> None:
         """Send the servers that this VM has restored from disk to all followers."""
         self._send_all(Remembered(announcements))
 
-    def hear_crashes(self, news: CrashNews, teller: Session | None = None) -> None:
+    def handle_crash_news(self, news: CrashNews, sender: Session | None = None) -> None:
         """Apply a VM's crash reports and forward those that are new to all other followers."""
-        fresh = self._crashes.hear(news, _now_ms())
-        if not any(fresh):
+        new = self._crashes.hear(news, _now_ms())
+        if not any(new):
             return
-        frame = frame_of(self._key, fresh)
-        for session in self._sessions - {teller}:
+        frame = encode_frame(self._key, new)
+        for session in self._sessions - {sender}:
             self._send_frame(session, frame)
 
     def renew(self, announcement: Announcement) -> None:
@@ -351,35 +355,35 @@
     async def confirmed(self, number: int, seconds: float) -> int:
         """Wait up to ``seconds`` for all followers to confirm; return how many have not."""
         with trio.move_on_after(seconds):
-            while self._missing(number):
-                await self._confirmation.wait()
-        return self._missing(number)
+            while self._unconfirmed_count(number):
+                await self._confirmation_changed.wait()
+        return self._unconfirmed_count(number)
 
-    def _missing(self, number: int) -> int:
-        return sum(session.confirmed < number for session in self._sessions)
+    def _unconfirmed_count(self, number: int) -> int:
+        return sum(session.confirmed_number < number for session in self._sessions)
 
-    async def _flush_forever(self) -> None:
+    async def _send_periodically(self) -> None:
         """Send batched renewals, or an empty batch as a heartbeat, and expire old state."""
-        told_at = 0.0
+        roster_sent_at = 0.0
         while True:
-            await trio.sleep(FLUSH_SECONDS)
-            due = trio.current_time() - told_at > ROSTER_SECONDS
-            if self._tell_roster(due):
-                told_at = trio.current_time()
+            await trio.sleep(RENEWAL_INTERVAL_SECONDS)
+            roster_due = trio.current_time() - roster_sent_at > ROSTER_INTERVAL_SECONDS
+            if self._broadcast_roster(roster_due):
+                roster_sent_at = trio.current_time()
             self._entries.forget(trio.current_time())
             self._send_renewals()
             self._crashes.forget(_now_ms())
             self._counters.gauge("feed.followers", len(self._sessions))
 
-    async def _tell_joins_forever(self) -> None:
+    async def _send_roster_changes(self) -> None:
         """Send the roster soon after a join: entry VMs choose engines by their peers' reports."""
         while True:
-            await self._joins.wait()
-            await trio.sleep(JOINS_SECONDS)
-            self._joins = trio.Event()
-            self._tell_roster(due=False)
+            await self._follower_joined.wait()
+            await trio.sleep(JOIN_BATCH_SECONDS)
+            self._follower_joined = trio.Event()
+            self._broadcast_roster(due=False)
 
-    def _tell_roster(self, due: bool) -> bool:
+    def _broadcast_roster(self, due: bool) -> bool:
         """Send the roster to all followers if it changed or is due; return whether it was sent."""
         roster = self._current_roster()
         if roster == self._last_roster and not due:
@@ -391,14 +395,16 @@
     def _send_renewals(self) -> None:
         """Send each follower the renewals of the servers that it tracks."""
         renewed, self._renewed = list(self._renewed.values()), {}
-        large = self._large_services()
+        large_services = self._large_services()
         frames: dict[str | None, bytes] = {}
         for session in list(self._sessions):
             follow = session.follow
             # Control VMs forward renewals to their own followers, so they receive all.
-            domain = follow.failure_domain if follow.peer_port and large else None
+            domain = follow.failure_domain if follow.peer_port and large_services else None
             if domain not in frames:
-                frames[domain] = frame_of(self._key, _renewals_for(domain, renewed, large))
+                frames[domain] = encode_frame(
+                    self._key, _make_renewals(domain, renewed, large_services)
+                )
             self._send_frame(session, frames[domain])
 
     def _large_services(self) -> set[str]:
@@ -407,10 +413,10 @@
         if entries <= MOST_VMS:
             return set()
         sizes = Counter(item.announcement.service for item in self._directory.all_known())
-        return {service for service, size in sizes.items() if size > FEW_SERVERS}
+        return {service for service, size in sizes.items() if size > SMALL_SERVICE_SERVERS}
 
 
-def _peer_of(follow: Follow) -> EntryPeer:
+def _entry_peer(follow: Follow) -> EntryPeer:
     return EntryPeer(follow.host, follow.peer_port, follow.failure_domain)
 
 
@@ -418,12 +424,14 @@
     return trio.current_time() * 1000
 
 
-def _renewals_for(domain: str | None, renewed: list[Announcement], large: set[str]) -> Renewals:
+def _make_renewals(
+    domain: str | None, announcements: list[Announcement], large_services: set[str]
+) -> Renewals:
     """Return the renewals for followers in a failure domain, or all if ``domain`` is None."""
     return Renewals(
         [
             (said.server, said.incarnation, said.seq)
-            for said in renewed
-            if domain is None or said.failure_domain == domain or said.service not in large
+            for said in announcements
+            if domain is None or said.failure_domain == domain or said.service not in large_services
         ]
     )
--- a/siskinspoke/control/group_daemon.py
+++ b/siskinspoke/control/group_daemon.py
@@ -42,17 +42,17 @@
 # size in memory.
 SNAPSHOT_ENTRIES = 24
 # Servers announce themselves every 1.2 s; a lease allows for the loss of four announcements.
-LEASES_PER_ANNOUNCEMENT = 4
-DISK_PAUSE_SECONDS = 0.5
-KEEP_LINKS_SECONDS = 2.0
+ANNOUNCEMENTS_PER_LEASE = 4
+DISK_RETRY_SECONDS = 0.5
+MAINTENANCE_SECONDS = 2.0
 # Servers join and leave in bursts; the lists are written at most this often.
-KEEP_LISTS_SECONDS = 0.5
+SAVE_LISTS_SECONDS = 0.5
 # Entry VMs retry connections to control VMs every 0.2 s and need one round trip.
-FOLLOWERS_FIRST_SECONDS = 0.25
+HTTP_START_DELAY_SECONDS = 0.25
 # How often, and at which interval, a control VM that has started notifies entry VMs that do not
 # follow it yet.
-CALLS = 12
-CALL_SECONDS = 0.1
+START_NOTIFICATIONS = 12
+NOTIFICATION_INTERVAL_SECONDS = 0.1
 
 
 class ControlParts(NamedTuple):
@@ -78,11 +78,11 @@
     """Create and run the components of a control VM; each owns its sockets and state."""
 
     def __init__(self, read_settings: Callable[[], VmSettings], log: DecisionLog):
-        self._watch = SettingsWatch(read_settings, self._take_seeds, log)
+        self._watch = SettingsWatch(read_settings, self._update_seeds, log)
         self._log = log
         self._counters = Counters()
         self._latencies = Latencies()
-        lease_ms = self._watch.settings.announce_every_ms * LEASES_PER_ANNOUNCEMENT
+        lease_ms = self._watch.settings.announce_every_ms * ANNOUNCEMENTS_PER_LEASE
         self._directory = Directory(lease_ms)
         self.registry = Registry(self._directory, self._counters, log)
         self._replica: Replica | None = None
@@ -104,11 +104,11 @@
         settings = self._watch.settings
         listener = Listener(
             on_publication=lambda version, document: None,
-            on_news=self.registry.hear_others,
-            on_renewals=self.registry.hear_renewals,
-            on_remembered=self.registry.hear_remembered,
+            on_news=self.registry.handle_remote_announcements,
+            on_renewals=self.registry.handle_renewals,
+            on_remembered=self.registry.restore_servers,
             version=lambda: 2**62,
-            on_crashes=lambda news: self._hub.hear_crashes(news),
+            on_crashes=lambda news: self._hub.handle_crash_news(news),
         )
         return FeedSet(
             Me(settings.name, settings.host, 0, settings.failure_domain),
@@ -129,28 +129,28 @@
         """Serve until SIGTERM or SIGINT."""
         settings = self._watch.settings
         parts = ControlParts(self.registry, self._counters, self._latencies, self._log)
-        self._recall_servers()
-        self._recall_entries()
+        self._restore_servers()
+        self._restore_entries()
         async with AsyncExitStack() as stack:
             nursery = await stack.enter_async_context(trio.open_nursery())
             links = LinkSet(self._open_link, nursery)
-            listener = LinkListener(settings.internal_key, self._counters, self._hear)
+            listener = LinkListener(settings.internal_key, self._counters, self._receive)
             await nursery.start(listener.serve, settings.host, settings.link_port)
             await nursery.start(self._hub.serve, settings.host, settings.feed_port)
             for task, *args in (
                 (self._run_replicas, links),
                 (self._feeds.run,),
-                (self._keep_up, links),
-                (self._keep_lists,),
-                (self._call_entries,),
+                (self._maintain, links),
+                (self._save_lists,),
+                (self._notify_entries,),
             ):
                 nursery.start_soon(keep_running, self._log, self._counters, task, *args)
             nursery.start_soon(self._serve_calls, load_app, parts, metrics_port)
             self._log.note("start", role="control", found=settings.found, host=settings.host)
-            await self._until_told_to_stop()
+            await self._wait_for_stop_signal()
             self._log.note("stop", role="control")
             if self._task is not None:
-                await self._task.hand_over()
+                await self._task.transfer_leadership()
             nursery.cancel_scope.cancel()
 
     async def _serve_calls(
@@ -161,7 +161,7 @@
         After a restart of all VMs, callers are served again as soon as entry VMs have a
         configuration. The HTTP modules are imported here so that they do not delay that.
         """
-        await trio.sleep(FOLLOWERS_FIRST_SECONDS)
+        await trio.sleep(HTTP_START_DELAY_SECONDS)
         from siskinspoke.transport.calls import serve_calls
         from siskinspoke.transport.pages import metrics_pages, serve_pages
 
@@ -175,10 +175,10 @@
             await nursery.start(serve_calls, answer, bounds, address.host, address.port)
             self._log.note("operators.open", port=address.port)
 
-    async def _until_told_to_stop(self) -> None:
+    async def _wait_for_stop_signal(self) -> None:
         """Wait for SIGTERM or SIGINT; reload the settings on SIGHUP."""
-        told = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        with trio.open_signal_receiver(*told) as signals:
+        handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        with trio.open_signal_receiver(*handled) as signals:
             async for number in signals:
                 if number != signal.SIGHUP:
                     return
@@ -190,23 +190,23 @@
             host, settings.link_port, settings.internal_key, self._counters, settings.host
         )
 
-    async def _hear(self, item) -> None:
+    async def _receive(self, item) -> None:
         if self._task is not None:
-            await self._task.hear(item)
+            await self._task.receive(item)
 
-    async def _keep_up(self, links: LinkSet) -> None:
+    async def _maintain(self, links: LinkSet) -> None:
         """Reload changed settings and close the links to control VMs that have been removed."""
         while True:
-            await trio.sleep(KEEP_LINKS_SECONDS)
+            await trio.sleep(MAINTENANCE_SECONDS)
             self._watch.look()
-            links.keep({*self._control_hosts(), *self._feeds.controls})
+            links.close_all_except({*self._control_hosts(), *self._feeds.controls})
 
-    def _take_seeds(self, seeds: tuple[str, ...]) -> None:
+    def _update_seeds(self, seeds: tuple[str, ...]) -> None:
         self._feeds.set_seeds(seeds)
         if self._replica is not None:
             self._replica.set_contacts(seeds)
 
-    def _recall_servers(self) -> None:
+    def _restore_servers(self) -> None:
         """Restore the servers that were known before the restart, for a limited time."""
         read = load_servers(Path(self._watch.settings.data_folder))
         if read.is_error():
@@ -214,9 +214,9 @@
             return
         if read.ok.unread:
             self._log.note("servers.unread", entries=read.ok.unread)
-        self.registry.hear_remembered(read.ok.announcements)
+        self.registry.restore_servers(read.ok.announcements)
 
-    def _recall_entries(self) -> None:
+    def _restore_entries(self) -> None:
         """Restore the entry VMs that followed this VM before the restart."""
         read = load_entries(Path(self._watch.settings.data_folder))
         if read.is_error():
@@ -225,7 +225,7 @@
         self._hub.entries.recall(read.ok, trio.current_time())
         self._log.note("entries.recalled", entries=len(read.ok))
 
-    async def _call_entries(self) -> None:
+    async def _notify_entries(self) -> None:
         """Notify the entry VMs that followed this VM before its restart that it is up.
 
         After a restart of all VMs they know only the seeds, which may be the last to come up.
@@ -234,27 +234,27 @@
         port = await open_datagram_port(
             settings.host, settings.peer_port, settings.internal_key, self._counters
         )
-        for _ in range(CALLS):
+        for _ in range(START_NOTIFICATIONS):
             for entry in self._hub.entries.kept(trio.current_time()):
                 if not self._hub.entries.follows(entry):
                     await port.send(ControlUp(settings.host), entry.host, entry.port)
-            await trio.sleep(CALL_SECONDS)
+            await trio.sleep(NOTIFICATION_INTERVAL_SECONDS)
         await trio.sleep_forever()
 
-    async def _keep_lists(self) -> None:
+    async def _save_lists(self) -> None:
         """Save the known servers and entry VMs whenever they change."""
         servers, entries = self._directory.changes, self._hub.entries.kept(trio.current_time())
         while True:
-            await trio.sleep(KEEP_LISTS_SECONDS)
+            await trio.sleep(SAVE_LISTS_SECONDS)
             if servers != self._directory.changes:
                 servers = self._directory.changes
                 known = [record.announcement for record in self._directory.all_known()]
-                await self._keep(save_servers, known)
-            if entries != (kept := self._hub.entries.kept(trio.current_time())):
-                entries = kept
-                await self._keep(save_entries, sorted(kept))
+                await self._save(save_servers, known)
+            if entries != (current := self._hub.entries.kept(trio.current_time())):
+                entries = current
+                await self._save(save_entries, sorted(current))
 
-    async def _keep(self, save: Callable[[Path, list], None], items: list) -> None:
+    async def _save(self, save: Callable[[Path, list], None], items: list) -> None:
         try:
             folder = Path(self._watch.settings.data_folder)
             await trio.to_thread.run_sync(save, folder, items)
@@ -276,10 +276,10 @@
                 failures = [_first_failure(group)]
             self._task = None
             self._replica = None
-            self.registry.serve_with(None)
+            self.registry.set_replica(None)
             self._log.note("disk.failed", reason=failures[0].message if failures else "")
             self._counters.count("disk.failed")
-            await trio.sleep(DISK_PAUSE_SECONDS)
+            await trio.sleep(DISK_RETRY_SECONDS)
 
     async def _run_replica(self, links: LinkSet) -> None:
         settings = self._watch.settings
@@ -301,7 +301,7 @@
         report = ReplicaReport(self._counters, self._latencies, self._log.note, links.states)
         task = ReplicaTask(replica, store, links, self._counters, SNAPSHOT_ENTRIES, report=report)
         self._replica, self._task = replica, task
-        self.registry.serve_with(task)
+        self.registry.set_replica(task)
         self._log.note(
             "replica.restored",
             known=restored.identity is not None,
@@ -312,28 +312,28 @@
         async with AsyncExitStack() as stack:
             stack.callback(store.close)
             nursery = await stack.enter_async_context(trio.open_nursery())
-            nursery.start_soon(self._tell_versions, task)
-            nursery.start_soon(self._note_roles, replica)
+            nursery.start_soon(self._publish_versions, task)
+            nursery.start_soon(self._log_roles, replica)
             nursery.start_soon(task.run)
 
-    async def _tell_versions(self, task: ReplicaTask) -> None:
+    async def _publish_versions(self, task: ReplicaTask) -> None:
         """Publish each configuration to the followers once this replica has applied it."""
-        told = 0
+        published = 0
         while True:
-            await task.wait_for_version(told, 3600)
+            await task.wait_for_version(published, 3600)
             machine = task.machine
-            if machine.version > told and machine.document is not None:
-                told = machine.version
-                self._log.note("configuration.accepted", version=told)
-                self._hub.publish(told, machine.document)
+            if machine.version > published and machine.document is not None:
+                published = machine.version
+                self._log.note("configuration.accepted", version=published)
+                self._hub.publish(published, machine.document)
 
-    async def _note_roles(self, replica: Replica) -> None:
+    async def _log_roles(self, replica: Replica) -> None:
         """Log the replica's role, term, leader and members whenever they change."""
-        seen = None
+        logged = None
         while True:
             state = (replica.role.value, replica.term, replica.leader, sorted(replica.members))
-            if state != seen:
-                seen = state
+            if state != logged:
+                logged = state
                 role, term, leader, members = state
                 self._log.note(
                     "replica.role",
--- a/siskinspoke/control/order_task.py
+++ b/siskinspoke/control/order_task.py
@@ -17,9 +17,9 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.transport.http import make_client
 
-LOOK_SECONDS = 0.1
-RECORD_SECONDS = 2.0
-REFUSED = 409
+POLL_SECONDS = 0.1
+RECORD_TIMEOUT_SECONDS = 2.0
+HTTP_CONFLICT = 409
 
 
 class OrderTask:
@@ -30,31 +30,33 @@
     ):
         self._task = task
         self._counters = counters
-        self._gate = OrderGate(concurrent_loads)
+        self._dispatcher = OrderGate(concurrent_loads)
         self._client = make_client(keep_alive=False, local_host=local_host)
 
     async def run(self) -> None:
         """Poll for pending orders until cancelled."""
         async with self._client, trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(LOOK_SECONDS)
+                await trio.sleep(POLL_SECONDS)
                 now = now_ms()
-                self._gate.leadership(self._task.leads, now)
+                self._dispatcher.leadership(self._task.is_leader, now)
                 pending = self._task.machine.orders.pending()
-                for record in self._gate.choose(pending, self._task.replica.lease_until(), now):
-                    nursery.start_soon(self._carry_out, record)
+                for record in self._dispatcher.choose(
+                    pending, self._task.replica.lease_until(), now
+                ):
+                    nursery.start_soon(self._send_and_record, record)
 
-    async def _carry_out(self, record: OrderRecord) -> None:
+    async def _send_and_record(self, record: OrderRecord) -> None:
         """Send one order, with a timeout, and record its result if it is known."""
         try:
-            end = await self._send(record)
-            if end is None and wall_ms() - record.given_ms > ORDER_LIFE_MS:
-                end = OrderEnd(record.number, False, "the engine did not answer in time")
-            if end is not None:
-                await self._task.propose(ORDER_END, end, RECORD_SECONDS)
-                logger.info("order {}: {}", record.request.order, end.detail)
+            result = await self._send(record)
+            if result is None and wall_ms() - record.given_ms > ORDER_LIFE_MS:
+                result = OrderEnd(record.number, False, "the engine did not answer in time")
+            if result is not None:
+                await self._task.propose(ORDER_END, result, RECORD_TIMEOUT_SECONDS)
+                logger.info("order {}: {}", record.request.order, result.detail)
         finally:
-            self._gate.landed(record.number)
+            self._dispatcher.landed(record.number)
 
     async def _send(self, record: OrderRecord) -> OrderEnd | None:
         """Send an order; return None if the outcome is unknown and it must be sent again."""
@@ -73,7 +75,7 @@
             except httpx.HTTPError:
                 self._counters.count("order.failed")
                 return None
-            if response.status_code == REFUSED:
+            if response.status_code == HTTP_CONFLICT:
                 self._counters.count("order.refused")
                 return OrderEnd(record.number, False, "refused: a later order came first")
             if response.status_code == 200:
--- a/siskinspoke/control/registry.py
+++ b/siskinspoke/control/registry.py
@@ -20,14 +20,14 @@
 from siskinspoke.protocol.announcements import Announcement
 
 # Clients try another VM after 1 s without an answer, so these timeouts are shorter.
-LEAVE_SECONDS = 0.4
-PUBLISH_SECONDS = 0.9
-READ_SECONDS = 0.7
+LEAVE_TIMEOUT_SECONDS = 0.4
+PUBLISH_TIMEOUT_SECONDS = 0.9
+READ_TIMEOUT_SECONDS = 0.7
 # Minimum interval between log lines for refused announcements, which may arrive without end.
-REFUSED_EVERY_MS = 1_000.0
+REFUSED_LOG_INTERVAL_MS = 1_000.0
 
 
-class Published(NamedTuple):
+class PublishResult(NamedTuple):
     """The result of a publish: whether it is known to be accepted, and the version in force."""
 
     known: bool
@@ -43,13 +43,13 @@
         self._log = log
         self._hub: FeedHub | None = None
         self._task: ReplicaTask | None = None
-        self._refused_at = -math.inf
+        self._refusal_logged_at = -math.inf
 
     def attach(self, hub: FeedHub) -> None:
         """Set the hub that sends changes to followers."""
         self._hub = hub
 
-    def serve_with(self, task: ReplicaTask | None) -> None:
+    def set_replica(self, task: ReplicaTask | None) -> None:
         """Set the running replica, or None while there is none."""
         self._task = task
 
@@ -76,51 +76,51 @@
         """Count a refused announcement and log it, subject to a rate limit."""
         self._counters.count("announcement.refused")
         now = now_ms()
-        if now - self._refused_at < REFUSED_EVERY_MS:
+        if now - self._refusal_logged_at < REFUSED_LOG_INTERVAL_MS:
             return
-        self._refused_at = now
+        self._refusal_logged_at = now
         self._log.note("server.refused", server=server[:100], reason=fault.message[:300])
 
     async def announce(self, announcement: Announcement) -> bool:
         """Process an announcement; return whether it may be confirmed to its sender."""
-        heard = self._directory.hear(announcement, now_ms())
-        self._counters.count(f"announcement.{heard.value}")
+        effect = self._directory.hear(announcement, now_ms())
+        self._counters.count(f"announcement.{effect.value}")
         if announcement.leaving:
-            return await self._spread_leave(announcement, heard)
-        if heard is Heard.JOINED:
-            self._note(announcement, heard)
+            return await self._broadcast_leave(announcement, effect)
+        if effect is Heard.JOINED:
+            self._note(announcement, effect)
             self._hub.tell_soon([announcement])
-        elif heard is Heard.RENEWED:
+        elif effect is Heard.RENEWED:
             self._hub.renew(announcement)
         return True
 
-    async def _spread_leave(self, announcement: Announcement, heard: Heard) -> bool:
+    async def _broadcast_leave(self, announcement: Announcement, effect: Heard) -> bool:
         """Send a leave, also a repeated one, to all followers and wait for their receipts.
 
         The server stops within a bounded time after the confirmation. If this VM crashed in
         between, a follower without the leave would keep sending to a stopped server.
         """
         number = self._hub.tell([announcement])
-        missing = await self._hub.confirmed(number, LEAVE_SECONDS)
+        unconfirmed = await self._hub.confirmed(number, LEAVE_TIMEOUT_SECONDS)
         followers = self._hub.followers
-        self._note(announcement, heard, unconfirmed=missing, followers=followers)
-        return followers > missing
+        self._note(announcement, effect, unconfirmed=unconfirmed, followers=followers)
+        return followers > unconfirmed
 
-    def hear_others(self, announcements: list[Announcement]) -> None:
+    def handle_remote_announcements(self, announcements: list[Announcement]) -> None:
         """Process announcements received from another control VM and forward the new ones."""
-        fresh, has_left = [], False
+        new, has_left = [], False
         for announcement in announcements:
-            heard = self._directory.hear(announcement, now_ms())
-            if heard in (Heard.JOINED, Heard.LEFT):
-                self._note(announcement, heard)
-                fresh.append(announcement)
-                has_left = has_left or heard is Heard.LEFT
+            effect = self._directory.hear(announcement, now_ms())
+            if effect in (Heard.JOINED, Heard.LEFT):
+                self._note(announcement, effect)
+                new.append(announcement)
+                has_left = has_left or effect is Heard.LEFT
         if has_left:
-            self._hub.tell(fresh)
-        elif fresh:
-            self._hub.tell_soon(fresh)
+            self._hub.tell(new)
+        elif new:
+            self._hub.tell_soon(new)
 
-    def hear_remembered(self, announcements: list[Announcement]) -> None:
+    def restore_servers(self, announcements: list[Announcement]) -> None:
         """Restore servers that a VM knew before its restart and forward the new ones."""
         now = now_ms()
         new = [item for item in announcements if self._directory.remember(item, now)]
@@ -128,14 +128,14 @@
         if new:
             self._hub.recall(new)
 
-    def hear_renewals(self, items: list[tuple[str, int, int]]) -> None:
+    def handle_renewals(self, items: list[tuple[str, int, int]]) -> None:
         """Renew the servers whose announcements another control VM has received."""
         for server, incarnation, seq in items:
             self._directory.renew(server, incarnation, seq, now_ms())
 
-    def _note(self, announcement: Announcement, heard: Heard, **more) -> None:
+    def _note(self, announcement: Announcement, effect: Heard, **more) -> None:
         self._log.note(
-            f"server.{heard.value}",
+            f"server.{effect.value}",
             server=announcement.server,
             service=announcement.service,
             address=f"{announcement.host}:{announcement.port}",
@@ -145,28 +145,30 @@
             **more,
         )
 
-    async def publish(self, version: int, document: dict) -> Published:
+    async def publish(self, version: int, document: dict) -> PublishResult:
         """Replicate a validated configuration and wait until a majority has it."""
         if self._task is None:
-            return Published(False, 0)
-        pending = await self._task.ask(PUBLISH, PublishRequest(version, document), PUBLISH_SECONDS)
-        known = pending.value is not None
-        self._counters.count("publish.accepted" if known else "publish.unknown")
+            return PublishResult(False, 0)
+        pending = await self._task.execute(
+            PUBLISH, PublishRequest(version, document), PUBLISH_TIMEOUT_SECONDS
+        )
+        accepted = pending.value is not None
+        self._counters.count("publish.accepted" if accepted else "publish.unknown")
         self._log.note(
             "configuration.publish",
             version=version,
-            known=known,
+            known=accepted,
             held=self.held.version,
             leader=self._task.replica.leader,
             role=self._task.replica.role.value,
             term=self._task.replica.term,
             unheard_ms=round(now_ms() - self._task.replica.leader_heard_at),
         )
-        return Published(known, self.held.version)
+        return PublishResult(accepted, self.held.version)
 
     async def read(self) -> Held | None:
         """Return the newest configuration, or None if this VM cannot confirm that it is."""
-        if self._task is None or not await self._task.read_newest(READ_SECONDS):
+        if self._task is None or not await self._task.wait_until_readable(READ_TIMEOUT_SECONDS):
             self._counters.count("read.unsure")
             return None
         return self.held
--- a/siskinspoke/control/replica_events.py
+++ b/siskinspoke/control/replica_events.py
@@ -8,21 +8,21 @@
 
 
 @dataclass
-class Pending:
+class PendingAnswer:
     """A future answer; a ``value`` of None means that the outcome is unknown."""
 
     done: trio.Event = field(default_factory=trio.Event)
     value: Any = None
     leader: bool = True
-    then: Callable[["Pending"], None] | None = None
+    on_resolved: Callable[["PendingAnswer"], None] | None = None
 
     def resolve(self, value: Any, leader: bool = True) -> None:
         """Set the answer and notify the waiters; later calls have no effect."""
         if not self.done.is_set():
             self.value, self.leader = value, leader
             self.done.set()
-            if self.then is not None:
-                self.then(self)
+            if self.on_resolved is not None:
+                self.on_resolved(self)
 
 
 class Proposal(NamedTuple):
@@ -30,13 +30,13 @@
 
     kind: str
     request: NamedTuple
-    answer: Pending
+    answer: PendingAnswer
 
 
-class Read(NamedTuple):
+class ReadRequest(NamedTuple):
     """A request for the index of the last committed entry."""
 
-    answer: Pending
+    answer: PendingAnswer
 
 
 class PendingRead(NamedTuple):
@@ -46,7 +46,7 @@
     """
 
     asked_at: float
-    pending: Pending
+    pending: PendingAnswer
     confirmed_by: str | None = None
 
 
@@ -55,8 +55,8 @@
 
     term: int
     proposal: Proposal
-    waiting: list[Pending]
+    answers: list[PendingAnswer]
 
 
-class HandOver(NamedTuple):
+class TransferLeadership(NamedTuple):
     """A request to transfer leadership before a shutdown."""
--- a/siskinspoke/control/replica_task.py
+++ b/siskinspoke/control/replica_task.py
@@ -9,12 +9,12 @@
 import trio
 
 from siskinspoke.control.replica_events import (
-    HandOver,
-    Pending,
+    PendingAnswer,
     PendingEntry,
     PendingRead,
     Proposal,
-    Read,
+    ReadRequest,
+    TransferLeadership,
 )
 from siskinspoke.control.replica_report import ReplicaReport
 from siskinspoke.control.replica_writer import ReplicaWriter, Synced, Write
@@ -29,7 +29,7 @@
 
 READ = "read"
 MAX_EVENTS = 512
-HAND_OVER_SECONDS = 1.0
+TRANSFER_TIMEOUT_SECONDS = 1.0
 TURN_SAMPLE_SECONDS = 0.1
 
 
@@ -47,7 +47,7 @@
     return time.time_ns() // 1_000_000
 
 
-def _say_nothing(template: str, *args: object) -> None:
+def _discard_log_line(template: str, *args: object) -> None:
     """Discard a log line, for owners that log the same events themselves."""
 
 
@@ -61,7 +61,7 @@
         links: Mapping[str, LinkSender] | LinkSet,
         counters: Counters,
         snapshot_entries: int,
-        say: Callable[..., None] = _say_nothing,
+        log: Callable[..., None] = _discard_log_line,
         report: ReplicaReport | None = None,
         clock: Callable[[], float] = now_ms,
         run_disk_write: Callable[..., Awaitable[None]] = trio.to_thread.run_sync,
@@ -71,7 +71,7 @@
         self._links = links
         self._counters = counters
         self._snapshot_entries = snapshot_entries
-        self._say = say
+        self._log = log
         self._report = report or ReplicaReport(counters)
         self._clock = clock
         self._send, self._receive = trio.open_memory_channel[Any](math.inf)
@@ -80,37 +80,37 @@
         )
         self._unsynced_writes = 0
         self._pending: dict[int, PendingEntry] = {}
-        self._changed = trio.Event()
-        self._progress = trio.Event()
-        self._reads: list[PendingRead] = []
-        self._forwarded: dict[int, Pending] = {}
-        self._next_forward = 0
+        self._version_changed = trio.Event()
+        self._applied_changed = trio.Event()
+        self._pending_reads: list[PendingRead] = []
+        self._pending_forwards: dict[int, PendingAnswer] = {}
+        self._last_forward_number = 0
         self._applied = 0
         self._unsaved_commit = False
-        self._seen_role = replica.role
-        self._since_ms = wall_ms()
+        self._last_role = replica.role
+        self._role_since_ms = wall_ms()
         if replica.snapshot is not None:
             self.machine.load(replica.snapshot.document)
             self._applied = replica.snapshot.index
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this replica considers itself the leader."""
         return self.replica.role is Role.LEADER
 
     @property
     def role_since_ms(self) -> int:
         """Return the wall-clock time of the last change of role."""
-        return self._since_ms
+        return self._role_since_ms
 
-    async def hear(self, item: Any) -> None:
+    async def receive(self, item: Any) -> None:
         """Queue a message from another replica."""
         self._send.send_nowait(item)
 
-    async def propose(self, kind: str, request: NamedTuple, seconds: float) -> Pending:
+    async def propose(self, kind: str, request: NamedTuple, seconds: float) -> PendingAnswer:
         """Propose a command if this replica leads; wait up to ``seconds`` for the answer."""
-        pending = Pending()
-        if not self.leads:
+        pending = PendingAnswer()
+        if not self.is_leader:
             pending.resolve(None, leader=False)
             return pending
         self._send.send_nowait(Proposal(kind, request, pending))
@@ -118,66 +118,66 @@
             await pending.done.wait()
         return pending
 
-    async def ask(self, kind: str, request: Any, seconds: float) -> Pending:
+    async def execute(self, kind: str, request: Any, seconds: float) -> PendingAnswer:
         """Have the leader, local or remote, process a command or a READ; wait up to ``seconds``.
 
         A configuration that this replica knows to be committed is answered without the leader.
         """
-        pending = Pending()
+        pending = PendingAnswer()
         if kind == PUBLISH and self._answer_accepted_publish(request, pending):
             return pending
-        if self.leads:
-            event = Read(pending) if kind == READ else Proposal(kind, request, pending)
+        if self.is_leader:
+            event = ReadRequest(pending) if kind == READ else Proposal(kind, request, pending)
             self._send.send_nowait(event)
         elif self.replica.leader is None:
             pending.resolve(None, leader=False)
         else:
-            self._next_forward += 1
-            self._forwarded[self._next_forward] = pending
+            self._last_forward_number += 1
+            self._pending_forwards[self._last_forward_number] = pending
             body = msgspec.to_builtins(request)
             replica = self.replica
             incarnation = replica.identity.incarnation
             forward = Forward(
-                replica.name, self._next_forward, kind, body, replica.term, incarnation
+                replica.name, self._last_forward_number, kind, body, replica.term, incarnation
             )
             self._links[self.replica.leader].send(forward)
-        number = self._next_forward
+        number = self._last_forward_number
         with trio.move_on_after(seconds):
             await pending.done.wait()
-        if self._forwarded.get(number) is pending:
-            del self._forwarded[number]
+        if self._pending_forwards.get(number) is pending:
+            del self._pending_forwards[number]
         return pending
 
-    async def read_newest(self, seconds: float) -> bool:
+    async def wait_until_readable(self, seconds: float) -> bool:
         """Wait until a local read is linearizable; return False if that cannot be confirmed.
 
         The leader confirms with a majority that it is still the leader. Otherwise a replica that is
         partitioned, or was suspended, would return outdated state.
         """
         with trio.move_on_after(seconds):
-            pending = await self.ask(READ, None, seconds)
+            pending = await self.execute(READ, None, seconds)
             if pending.value is None:
                 return False
             # This replica may not have applied all committed entries yet.
             while self._applied < pending.value:
-                await self._progress.wait()
+                await self._applied_changed.wait()
             return True
         return False
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Transfer leadership before a shutdown and wait a bounded time for a successor."""
-        if not self.leads:
+        if not self.is_leader:
             return
-        self._send.send_nowait(HandOver())
-        with trio.move_on_after(HAND_OVER_SECONDS):
-            while self.leads or self.replica.leader is None:
+        self._send.send_nowait(TransferLeadership())
+        with trio.move_on_after(TRANSFER_TIMEOUT_SECONDS):
+            while self.is_leader or self.replica.leader is None:
                 await trio.sleep(0.02)
 
     async def wait_for_version(self, after: int, seconds: float) -> None:
         """Wait up to ``seconds`` for a configuration newer than version ``after``."""
         with trio.move_on_after(seconds):
             while self.machine.version <= after:
-                await self._changed.wait()
+                await self._version_changed.wait()
 
     async def run(self) -> None:
         """Process events until cancelled, while a separate task writes to the disk.
@@ -207,7 +207,7 @@
         while True:
             events = await self._next_events()
             now = self._clock()
-            if self.leads:
+            if self.is_leader:
                 # A leader that was suspended must detect that its leadership has lapsed before
                 # it processes queued messages.
                 self.replica.tick(now)
@@ -215,33 +215,33 @@
                 match event:
                     case Proposal():
                         self._propose(event, now)
-                    case HandOver():
+                    case TransferLeadership():
                         self.replica.hand_over(now)
-                    case Read():
+                    case ReadRequest():
                         self._queue_read(event.answer, now)
                     case Forward():
-                        self._take_forward(event, now)
+                        self._handle_forward(event, now)
                     case Forwarded():
-                        self._take_forwarded(event)
+                        self._handle_forwarded(event)
                     case Synced():
-                        self._take_synced(event, now)
+                        self._handle_synced(event, now)
                     case _:
                         self.replica.receive(event, now)
             # A delayed follower processes queued messages from its leader before it checks its
             # election timeout.
             self.replica.tick(now)
-            self._carry_out(self.replica.take_output())
+            self._process_output(self.replica.take_output())
             self._compact_if_due()
             self._answer_reads()
 
-    def _take_forward(self, forward: Forward, now: float) -> None:
+    def _handle_forward(self, forward: Forward, now: float) -> None:
         """Process a command or read that a follower has forwarded, and answer the follower."""
 
-        def answer(pending: Pending) -> None:
-            known = pending.value is not None
-            self._links[forward.sender].send(Forwarded(forward.number, known, pending.value))
+        def answer(pending: PendingAnswer) -> None:
+            has_answer = pending.value is not None
+            self._links[forward.sender].send(Forwarded(forward.number, has_answer, pending.value))
 
-        pending = Pending(then=answer)
+        pending = PendingAnswer(on_resolved=answer)
         if forward.kind == READ:
             sender = forward.sender
             confirms = self.replica.is_followed_by(sender, forward.term, forward.incarnation)
@@ -249,27 +249,29 @@
         else:
             self._propose(Proposal(forward.kind, forward.request, pending), now)
 
-    def _take_forwarded(self, answer: Forwarded) -> None:
-        pending = self._forwarded.pop(answer.number, None)
+    def _handle_forwarded(self, answer: Forwarded) -> None:
+        pending = self._pending_forwards.pop(answer.number, None)
         if pending is not None:
             pending.resolve(answer.answer if answer.known else None)
 
-    def _queue_read(self, pending: Pending, now: float, confirmed_by: str | None = None) -> None:
-        self._reads.append(PendingRead(now, pending, confirmed_by))
-        if self.leads and not self.replica.heard_since(now, confirmed_by):
+    def _queue_read(
+        self, pending: PendingAnswer, now: float, confirmed_by: str | None = None
+    ) -> None:
+        self._pending_reads.append(PendingRead(now, pending, confirmed_by))
+        if self.is_leader and not self.replica.heard_since(now, confirmed_by):
             self.replica.beat_now(now)
 
     def _answer_reads(self) -> None:
         """Answer the reads since whose start a majority has confirmed this leader."""
-        waiting = []
-        for read in self._reads:
+        unanswered = []
+        for read in self._pending_reads:
             if not self.replica.may_read():
-                read.pending.resolve(None, leader=self.leads)
+                read.pending.resolve(None, leader=self.is_leader)
             elif self.replica.heard_since(read.asked_at, read.confirmed_by):
                 read.pending.resolve(self.replica.commit)
             elif not read.pending.done.is_set():
-                waiting.append(read)
-        self._reads = waiting
+                unanswered.append(read)
+        self._pending_reads = unanswered
 
     async def _next_events(self) -> list[Any]:
         """Return all queued events; wait for one until the replica's next tick at most."""
@@ -279,7 +281,7 @@
         return events + receive_queued(self._receive, MAX_EVENTS - len(events))
 
     def _propose(self, proposal: Proposal, now: float) -> None:
-        if proposal.kind == PUBLISH and self.leads:
+        if proposal.kind == PUBLISH and self.is_leader:
             request = msgspec.convert(proposal.request, PublishRequest)
             proposal = proposal._replace(request=request)
             if self._answer_repeated_publish(proposal):
@@ -302,11 +304,11 @@
         for entry in self._pending.values():
             proposal = entry.proposal
             if proposal.kind == PUBLISH and proposal.request == repeat.request:
-                entry.waiting.append(repeat.answer)
+                entry.answers.append(repeat.answer)
                 return True
         return False
 
-    def _answer_accepted_publish(self, request: PublishRequest, pending: Pending) -> bool:
+    def _answer_accepted_publish(self, request: PublishRequest, pending: PendingAnswer) -> bool:
         """Answer a configuration not newer than the committed one; return False if it is newer.
 
         This needs neither a leader nor a majority, because committed versions never decrease.
@@ -316,7 +318,7 @@
         pending.resolve(PublishAnswer(self.machine.version, False))
         return True
 
-    def _take_synced(self, synced: Synced, now: float) -> None:
+    def _handle_synced(self, synced: Synced, now: float) -> None:
         """Report a completed sync to the replica and send the messages that depended on it."""
         self.replica.timer.sync_durations.add(synced.duration_ms, now)
         self._unsynced_writes -= len(synced.writes)
@@ -328,28 +330,28 @@
         for peer, item in sends:
             self._links[peer].send(item)
 
-    def _carry_out(self, out: Output) -> None:
+    def _process_output(self, out: Output) -> None:
         for election in out.lost_elections:
             self._report.record_lost_election(election)
         if out.identity is not None:
-            self._say("identity: incarnation {}", out.identity.incarnation)
+            self._log("identity: incarnation {}", out.identity.incarnation)
         self._send_all(out.sends)
         if out.snapshot is not None:
-            self._install(out.snapshot)
+            self._install_snapshot(out.snapshot)
             out.records = self.replica.persistent_records()
         for entry in out.committed:
             self._apply(entry)
         self._write(out)
         if out.committed or out.snapshot is not None:
-            progress, self._progress = self._progress, trio.Event()
+            progress, self._applied_changed = self._applied_changed, trio.Event()
             progress.set()
-        self._note_role()
+        self._handle_role_change()
 
-    def _install(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         self.machine.load(snapshot.document)
         self._applied = snapshot.index
         self._counters.count("snapshot.installed")
-        self._note_change()
+        self._notify_version_changed()
         self._unsaved_commit = False
 
     def _write(self, out: Output) -> None:
@@ -372,33 +374,33 @@
         answer = self.machine.apply(entry)
         self._applied = entry.index
         self._counters.count(f"applied.{entry.kind}")
-        proposed = self._pending.pop(entry.index, None)
-        if proposed is not None:
-            for pending in proposed.waiting:
-                pending.resolve(answer if proposed.term == entry.term else None)
+        pending_entry = self._pending.pop(entry.index, None)
+        if pending_entry is not None:
+            for pending in pending_entry.answers:
+                pending.resolve(answer if pending_entry.term == entry.term else None)
         if self.machine.version != version:
-            self._say("configuration accepted: version {}", self.machine.version)
+            self._log("configuration accepted: version {}", self.machine.version)
             self._unsaved_commit = True
-            self._note_change()
+            self._notify_version_changed()
 
-    def _note_change(self) -> None:
-        changed, self._changed = self._changed, trio.Event()
+    def _notify_version_changed(self) -> None:
+        changed, self._version_changed = self._version_changed, trio.Event()
         changed.set()
 
-    def _note_role(self) -> None:
+    def _handle_role_change(self) -> None:
         """Log a change of role; on loss of leadership, resolve pending entries as unknown."""
         role = self.replica.role
-        if role is self._seen_role:
+        if role is self._last_role:
             return
         became_leader = role is Role.LEADER
-        if became_leader or self._seen_role is Role.LEADER:
-            self._say("{} in term {}", role.value, self.replica.term)
+        if became_leader or self._last_role is Role.LEADER:
+            self._log("{} in term {}", role.value, self.replica.term)
             self._counters.count(f"role.{role.value}")
-        self._seen_role = role
-        self._since_ms = wall_ms()
+        self._last_role = role
+        self._role_since_ms = wall_ms()
         if not became_leader:
             for entry in self._pending.values():
-                for pending in entry.waiting:
+                for pending in entry.answers:
                     pending.resolve(None)
             self._pending.clear()
 
--- a/siskinspoke/protocol/assembly.py
+++ b/siskinspoke/protocol/assembly.py
@@ -44,12 +44,12 @@
 
     def __init__(self, request: str, attempt: int, incarnation: int, offset: int):
         self._source = (request, attempt, incarnation)
-        self._next = offset
+        self._next_offset = offset
 
     @property
     def offset(self) -> int:
         """Return the index of the next token."""
-        return self._next
+        return self._next_offset
 
     def feed(self, chunk: Chunk) -> Step:
         """Process a chunk and return what it adds.
@@ -59,11 +59,15 @@
         """
         if (chunk.request, chunk.attempt, chunk.incarnation) != self._source:
             return Ignored("foreign")
-        if chunk.offset > self._next:
-            return Gap(self._next, chunk.offset)
+        if chunk.offset > self._next_offset:
+            return Gap(self._next_offset, chunk.offset)
         if chunk.done:
-            return Complete(self._next) if chunk.offset == self._next else Ignored("early end")
-        if chunk.offset < self._next:
+            return (
+                Complete(self._next_offset)
+                if chunk.offset == self._next_offset
+                else Ignored("early end")
+            )
+        if chunk.offset < self._next_offset:
             return Ignored("doubled")
-        self._next += chunk.tokens
+        self._next_offset += chunk.tokens
         return Piece(chunk.offset, chunk.tokens, chunk.text)
--- a/siskinspoke/protocol/decimals.py
+++ b/siskinspoke/protocol/decimals.py
@@ -3,12 +3,12 @@
 import math
 import re
 
-_DECIMAL = re.compile(r"[0-9.eE+-]{1,40}")
+_DECIMAL_PATTERN = re.compile(r"[0-9.eE+-]{1,40}")
 
 
 def decimal(text: str | None) -> float | None:
     """Parse a finite non-negative number; return None if the text is missing or invalid."""
-    if text is None or not _DECIMAL.fullmatch(text):
+    if text is None or not _DECIMAL_PATTERN.fullmatch(text):
         return None
     try:
         number = float(text)
--- a/siskinspoke/protocol/events.py
+++ b/siskinspoke/protocol/events.py
@@ -1,6 +1,6 @@
 """Splitting a byte stream into server-sent events."""
 
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 ID_FIELD = b"id:"
 
 
@@ -21,22 +21,22 @@
         """Add received bytes; return the events completed by them, with their terminators."""
         self._rest += data
         events = []
-        while (end := self._next_end()) is not None:
+        while (end := self._find_end()) is not None:
             event = bytes(self._rest[:end])
             del self._rest[:end]
-            self._note(event)
+            self._record(event)
             events.append(event)
         return events
 
-    def _next_end(self) -> int | None:
+    def _find_end(self) -> int | None:
         ends = []
-        for mark in EVENT_ENDS:
+        for mark in EVENT_TERMINATORS:
             found = self._rest.find(mark)
             if found >= 0:
                 ends.append(found + len(mark))
         return min(ends) if ends else None
 
-    def _note(self, event: bytes) -> None:
+    def _record(self, event: bytes) -> None:
         self.count += 1
         event_id = id_of(event)
         if event_id is not None:
--- a/siskinspoke/protocol/prefix.py
+++ b/siskinspoke/protocol/prefix.py
@@ -16,10 +16,10 @@
 
 def prefix_blocks(text: str) -> list[int]:
     """Return a hash for the prefix up to each full block; equal hashes mean equal prefixes."""
-    return list(_chain(text))
+    return list(_iterate_hashes(text))
 
 
-def _chain(text: str) -> Iterator[int]:
+def _iterate_hashes(text: str) -> Iterator[int]:
     previous = 0
     for start in range(0, len(text) - _BLOCK_CHARACTERS + 1, _BLOCK_CHARACTERS):
         block = text[start : start + _BLOCK_CHARACTERS]
--- a/siskinspoke/protocol/sealed_http.py
+++ b/siskinspoke/protocol/sealed_http.py
@@ -14,6 +14,6 @@
     return digest.hexdigest()
 
 
-def seal_holds(key: bytes, path: str, body: bytes, given: str | None) -> bool:
+def verify_seal(key: bytes, path: str, body: bytes, given: str | None) -> bool:
     """Tell whether ``given`` is the seal of a request's path and body."""
     return given is not None and hmac.compare_digest(given, seal_of(key, path, body))
--- a/siskinspoke/transport/calls.py
+++ b/siskinspoke/transport/calls.py
@@ -12,11 +12,11 @@
 
 from siskinspoke.transport.http1 import BadRequestError, ClientConnection, Headers
 
-HEADER_BYTES = 8_192
+MAX_HEADER_BYTES = 8_192
 # Clients send a request every few seconds; idle connections are closed after this time.
-IDLE_SECONDS = 30.0
+IDLE_TIMEOUT_SECONDS = 30.0
 # Methods whose answer has a body and leaves the connection an HTTP connection.
-METHODS = frozenset({"GET", "POST", "PUT", "DELETE"})
+SUPPORTED_METHODS = frozenset({"GET", "POST", "PUT", "DELETE"})
 # After a restart of all VMs, all servers connect at once.
 BACKLOG = 1_024
 
@@ -44,18 +44,18 @@
     body_seconds: float
 
 
-Answer = Callable[[Call], Awaitable[Reply]]
+CallHandler = Callable[[Call], Awaitable[Reply]]
 
 
 async def serve_calls(
-    answer: Answer, bounds: Bounds, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
+    handle: CallHandler, bounds: Bounds, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
 ) -> None:
     """Serve calls until cancelled."""
 
-    async def serve_one(stream: trio.SocketStream) -> None:
-        connection = ClientConnection(stream, HEADER_BYTES)
+    async def serve_connection(stream: trio.SocketStream) -> None:
+        connection = ClientConnection(stream, MAX_HEADER_BYTES)
         try:
-            while await _serve_call(answer, bounds, connection):
+            while await _serve_call(handle, bounds, connection):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError, BadRequestError):
             # The client has disconnected or sent invalid HTTP; its connection is closed.
@@ -69,28 +69,30 @@
         finally:
             await connection.close()
 
-    await trio.serve_tcp(serve_one, port, host=host, backlog=BACKLOG, task_status=task_status)
+    await trio.serve_tcp(
+        serve_connection, port, host=host, backlog=BACKLOG, task_status=task_status
+    )
 
 
-async def _serve_call(answer: Answer, bounds: Bounds, connection: ClientConnection) -> bool:
+async def _serve_call(handle: CallHandler, bounds: Bounds, connection: ClientConnection) -> bool:
     """Answer one call; return False if the connection must be closed."""
-    came = False
-    with trio.move_on_after(IDLE_SECONDS):
-        came = await connection.wait_for_request()
-    if not came:
+    received = False
+    with trio.move_on_after(IDLE_TIMEOUT_SECONDS):
+        received = await connection.wait_for_request()
+    if not received:
         return False
     reply = Reply(408)
-    with trio.move_on_after(bounds.body_seconds) as reading:
+    with trio.move_on_after(bounds.body_seconds) as timeout:
         head = await connection.read_head()
         try:
             body = await connection.read_body(bounds.body_bytes)
         except BadRequestError as error:
             await _send(connection, Reply(error.status or 400))
             return False
-    if not reading.cancelled_caught:
+    if not timeout.cancelled_caught:
         reply = Reply(405)
-        if head.method in METHODS:
-            reply = await answer(Call(head.method, head.target.partition("?")[0], body))
+        if head.method in SUPPORTED_METHODS:
+            reply = await handle(Call(head.method, head.target.partition("?")[0], body))
     await _send(connection, reply)
     return connection.next_cycle()
 
--- a/siskinspoke/transport/datagrams.py
+++ b/siskinspoke/transport/datagrams.py
@@ -10,7 +10,7 @@
 
 MAX_DATAGRAM_BYTES = 65_507
 
-Handler = Callable[[Any], Awaitable[None]]
+MessageHandler = Callable[[Any], Awaitable[None]]
 
 
 class DatagramPort:
@@ -35,7 +35,7 @@
             except OSError:
                 self._counters.count("datagram.send_failed")
 
-    async def receive_forever(self, handle: Handler) -> None:
+    async def receive_forever(self, handle: MessageHandler) -> None:
         """Pass every authentic message to ``handle``; count and drop the others."""
         while True:
             try:
--- a/siskinspoke/transport/early.py
+++ b/siskinspoke/transport/early.py
@@ -13,11 +13,11 @@
 from siskinspoke.platform import SETTINGS_VARIABLE
 
 BACKLOG = 2_048
-FILE_FLAG = "--vm_file="
-PUBLIC = "public"
+SETTINGS_FLAG = "--vm_file="
+ADDRESS_FIELD = "public"
 
 # The listener of this process until the client server takes it over.
-_early: socket.socket | None = None
+_early_listener: socket.socket | None = None
 
 
 def listen_early(arguments: list[str]) -> None:
@@ -26,7 +26,7 @@
     Errors in the file or the address are left to the command, which reads and binds again and
     reports them.
     """
-    global _early
+    global _early_listener
     address = _public_address(arguments)
     if address is None:
         return
@@ -38,26 +38,26 @@
     except OSError:
         listener.close()
         return
-    _early = listener
+    _early_listener = listener
 
 
 def take_early(host: str, port: int) -> socket.socket | None:
     """Return the early listener of an address and release it, or None if there is none."""
-    global _early
-    if _early is None or _early.getsockname() != (host, port):
+    global _early_listener
+    if _early_listener is None or _early_listener.getsockname() != (host, port):
         return None
-    listener, _early = _early, None
+    listener, _early_listener = _early_listener, None
     return listener
 
 
 def _public_address(arguments: list[str]) -> tuple[str, int] | None:
     path = os.environ.get(SETTINGS_VARIABLE, "")
     for word in arguments:
-        if word.startswith(FILE_FLAG):
-            path = word.removeprefix(FILE_FLAG)
+        if word.startswith(SETTINGS_FLAG):
+            path = word.removeprefix(SETTINGS_FLAG)
     try:
         with open(path, encoding="utf-8") as file:
-            host, _, port = json.load(file)[PUBLIC].rpartition(":")
+            host, _, port = json.load(file)[ADDRESS_FIELD].rpartition(":")
         return host, int(port)
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         return None
--- a/siskinspoke/transport/frames.py
+++ b/siskinspoke/transport/frames.py
@@ -14,36 +14,36 @@
 READ_BYTES = 262_144
 # Messages over this size are compressed; configurations shrink to a sixth. The first byte of a
 # zlib stream is "x", that of an uncompressed message a bracket.
-PACKED_FROM_BYTES = 4_096
-PACKING_LEVEL = 1
-PACKED_MARK = b"x"
+COMPRESSION_THRESHOLD_BYTES = 4_096
+COMPRESSION_LEVEL = 1
+COMPRESSED_PREFIX = b"x"
 # A write times out after this time, plus the time for its size at 10 MB/s.
-WRITE_SECONDS = 1.0
-BYTES_PER_SECOND = 10_000_000
+WRITE_TIMEOUT_SECONDS = 1.0
+MIN_WRITE_BYTES_PER_SECOND = 10_000_000
 
 
-def frame_of(key: bytes, item: Any) -> bytes:
+def encode_frame(key: bytes, item: Any) -> bytes:
     """Encode a message as a frame."""
     message = encode_message(item)
-    if len(message) > PACKED_FROM_BYTES:
-        message = zlib.compress(message, PACKING_LEVEL)
+    if len(message) > COMPRESSION_THRESHOLD_BYTES:
+        message = zlib.compress(message, COMPRESSION_LEVEL)
     body = seal(key, message)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-def open_frame(key: bytes, frame: bytes) -> Result[Any, str]:
+def decode_frame(key: bytes, frame: bytes) -> Result[Any, str]:
     """Decode a frame without its length prefix; return the reason if it is invalid."""
     message = unseal(key, frame)
     if message is None:
         return Error("seal")
-    if message.startswith(PACKED_MARK):
+    if message.startswith(COMPRESSED_PREFIX):
         # The sender holds the key, so the decompressed size needs no limit.
         message = zlib.decompress(message)
     decoded = decode_message(message)
     return decoded if decoded.is_ok() else Error("message")
 
 
-def take_frame(buffered: bytearray) -> bytes | None:
+def pop_frame(buffered: bytearray) -> bytes | None:
     """Remove the next complete frame from a buffer and return it without its length prefix."""
     if len(buffered) < LENGTH_BYTES:
         return None
@@ -60,19 +60,19 @@
 async def send_frames(stream: trio.SocketStream, frames: Iterable[bytes]) -> int:
     """Send frames, with a timeout, and return their total size in bytes."""
     data = b"".join(frames)
-    with trio.fail_after(WRITE_SECONDS + len(data) / BYTES_PER_SECOND):
+    with trio.fail_after(WRITE_TIMEOUT_SECONDS + len(data) / MIN_WRITE_BYTES_PER_SECOND):
         await stream.send_all(data)
     return len(data)
 
 
-async def frames_from(stream: trio.SocketStream, silent_seconds: float) -> AsyncIterator[bytes]:
+async def receive_frames(stream: trio.SocketStream, timeout_seconds: float) -> AsyncIterator[bytes]:
     """Yield frames until the peer closes; raise TooSlowError if it sends nothing for too long."""
     buffered = bytearray()
     while True:
-        with trio.fail_after(silent_seconds):
+        with trio.fail_after(timeout_seconds):
             data = await stream.receive_some(READ_BYTES)
         if not data:
             return
         buffered += data
-        while (frame := take_frame(buffered)) is not None:
+        while (frame := pop_frame(buffered)) is not None:
             yield frame
--- a/siskinspoke/transport/http.py
+++ b/siskinspoke/transport/http.py
@@ -13,9 +13,9 @@
 
 from siskinspoke.core.codes import FACTS, Failure, ResultCode
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 KEEP_ALIVE_SECONDS = 30
-HEADER_LIMIT_BYTES = 32_768
+MAX_HEADER_BYTES = 32_768
 JSON_TYPE = "application/json"
 
 
@@ -72,7 +72,7 @@
     config.bind = [f"{server.host}:{server.port}"]
     config.graceful_timeout = server.graceful_seconds
     config.keep_alive_timeout = KEEP_ALIVE_SECONDS
-    config.h11_max_incomplete_size = HEADER_LIMIT_BYTES
+    config.h11_max_incomplete_size = MAX_HEADER_BYTES
     config.accesslog = None
     config.loglevel = "WARNING"
     config.backlog = 1024
@@ -93,7 +93,7 @@
     limits = httpx.Limits(
         max_connections=None, max_keepalive_connections=64 if keep_alive else 0, keepalive_expiry=4
     )
-    timeout = httpx.Timeout(None, connect=CONNECT_SECONDS)
+    timeout = httpx.Timeout(None, connect=CONNECT_TIMEOUT_SECONDS)
     transport = httpx.AsyncHTTPTransport(
         limits=limits, local_address=local_host, verify=False, trust_env=False
     )
--- a/siskinspoke/transport/http1.py
+++ b/siskinspoke/transport/http1.py
@@ -16,7 +16,7 @@
 
 READ_BYTES = 65_536
 # How many bytes of pipelined requests are buffered; further ones stay in the socket's buffer.
-EARLY_BYTES = 65_536
+MAX_PIPELINED_BYTES = 65_536
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -64,16 +64,16 @@
     def __init__(self, stream: trio.SocketStream, max_header_bytes: int):
         self._stream = stream
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=max_header_bytes)
-        self._early = bytearray()
-        self._ended = False
+        self._buffered = bytearray()
+        self._client_closed = False
         self._pipelined = False
 
     async def wait_for_request(self) -> bool:
         """Wait for the first byte of a request; return False if the client has closed."""
-        if self._early or self._pipelined:
+        if self._buffered or self._pipelined:
             return True
         data = await self._receive()
-        self._early += data
+        self._buffered += data
         return bool(data)
 
     async def _receive(self) -> bytes:
@@ -84,9 +84,9 @@
 
     async def _next_event(self):
         while True:
-            if self._early:
-                self._h11.receive_data(bytes(self._early))
-                self._early.clear()
+            if self._buffered:
+                self._h11.receive_data(bytes(self._buffered))
+                self._buffered.clear()
             event = self._h11.next_event()
             if event is not h11.NEED_DATA:
                 return event
@@ -109,8 +109,8 @@
     async def read_body(self, limit: int) -> bytes:
         """Read the whole body of the request; raise BadRequestError if it exceeds ``limit``."""
         if self._h11.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self._send(self._h11.send(go_on))
+            informational = h11.InformationalResponse(status_code=100, headers=[])
+            await self._send(self._h11.send(informational))
         parts, size = [], 0
         try:
             while isinstance(event := await self._next_event(), h11.Data):
@@ -124,13 +124,13 @@
 
     async def watch(self, gone: trio.CancelScope) -> None:
         """Cancel a scope once the client has closed; buffer pipelined requests until then."""
-        while len(self._early) < EARLY_BYTES:
+        while len(self._buffered) < MAX_PIPELINED_BYTES:
             data = await self._receive()
             if not data:
-                self._ended = True
+                self._client_closed = True
                 gone.cancel()
                 return
-            self._early += data
+            self._buffered += data
 
     async def send_head(self, status: int, headers: Headers) -> None:
         """Send the status line and headers of an answer."""
@@ -163,7 +163,7 @@
 
     def next_cycle(self) -> bool:
         """Prepare for another request; return False if the connection must be closed."""
-        if self._ended or self._h11.our_state is not h11.DONE:
+        if self._client_closed or self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE:
             return False
--- a/siskinspoke/transport/links.py
+++ b/siskinspoke/transport/links.py
@@ -15,18 +15,18 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.transport.frames import (
     READ_BYTES,
-    frame_of,
-    open_frame,
+    decode_frame,
+    encode_frame,
+    pop_frame,
     send_frames,
-    take_frame,
 )
 from siskinspoke.transport.sockets import tune
 
-OUTBOX_MESSAGES = 512
-CONNECT_SECONDS = 0.5
-PAUSE_SECONDS = 0.1
+MAX_QUEUED_MESSAGES = 512
+CONNECT_TIMEOUT_SECONDS = 0.5
+RECONNECT_DELAY_SECONDS = 0.1
 
-Handler = Callable[[Any], Awaitable[None]]
+MessageHandler = Callable[[Any], Awaitable[None]]
 
 
 class LinkState(NamedTuple):
@@ -51,7 +51,7 @@
         self._local_host = local_host
         self._key = key
         self._counters = counters
-        self._send, self._receive = trio.open_memory_channel[Any](OUTBOX_MESSAGES)
+        self._send, self._receive = trio.open_memory_channel[Any](MAX_QUEUED_MESSAGES)
         self._connected = False
         self._since = -math.inf
 
@@ -72,26 +72,26 @@
         """Send queued messages until cancelled, reconnecting after each failure."""
         while True:
             try:
-                with trio.fail_after(CONNECT_SECONDS):
+                with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
                     stream = await trio.open_tcp_stream(
                         *self._address, local_address=self._local_host
                     )
                 tune(stream.socket)
                 self._set_connected(True)
                 async with stream, trio.open_nursery() as nursery:
-                    nursery.start_soon(self._watch, stream, nursery.cancel_scope)
-                    nursery.start_soon(self._pump, stream, nursery.cancel_scope)
+                    nursery.start_soon(self._wait_for_close, stream, nursery.cancel_scope)
+                    nursery.start_soon(self._send_until_failure, stream, nursery.cancel_scope)
             except (OSError, trio.TooSlowError):
                 self._counters.count("link.broken")
             self._set_connected(False)
-            self._drain()
-            await trio.sleep(PAUSE_SECONDS)
+            self._drop_queued()
+            await trio.sleep(RECONNECT_DELAY_SECONDS)
 
     def _set_connected(self, connected: bool) -> None:
         if connected != self._connected:
             self._connected, self._since = connected, trio.current_time()
 
-    async def _watch(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
+    async def _wait_for_close(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
         """Close the connection when the peer closes it.
 
         Followers send each other nothing until an election. Without this check, the first vote
@@ -103,7 +103,7 @@
         self._counters.count("link.broken")
         scope.cancel()
 
-    async def _pump(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
+    async def _send_until_failure(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
         """Send queued messages until the connection fails or a write times out."""
         with contextlib.suppress(trio.BrokenResourceError, trio.TooSlowError):
             await self._send_forever(stream)
@@ -111,16 +111,16 @@
 
     async def _send_forever(self, stream: trio.SocketStream) -> None:
         async for item in self._receive:
-            items = [item, *receive_queued(self._receive, OUTBOX_MESSAGES - 1)]
-            frames = [self._frame(item) for item in items]
+            items = [item, *receive_queued(self._receive, MAX_QUEUED_MESSAGES - 1)]
+            frames = [self._encode(item) for item in items]
             sent = await send_frames(stream, frames)
             self._counters.count("link.messages_sent", len(frames))
             self._counters.count("link.bytes_sent", sent)
 
-    def _frame(self, item: Any) -> bytes:
-        return frame_of(self._key, item)
+    def _encode(self, item: Any) -> bytes:
+        return encode_frame(self._key, item)
 
-    def _drain(self) -> None:
+    def _drop_queued(self) -> None:
         """Drop the messages queued for an unreachable peer."""
         for _ in receive_queued(self._receive, math.inf):
             self._counters.count("link.dropped")
@@ -149,7 +149,7 @@
         """Return the state of each link by peer name."""
         return {name: link.state for name, (link, _) in self._links.items()}
 
-    def keep(self, names: Iterable[str]) -> None:
+    def close_all_except(self, names: Iterable[str]) -> None:
         """Close the links to all peers other than ``names``."""
         for name in self._links.keys() - set(names):
             self._links.pop(name)[1].cancel()
@@ -158,7 +158,7 @@
 class LinkListener:
     """Pass every authentic message from any peer to a handler."""
 
-    def __init__(self, key: bytes, counters: Counters, handle: Handler):
+    def __init__(self, key: bytes, counters: Counters, handle: MessageHandler):
         self._key = key
         self._counters = counters
         self._handle = handle
@@ -173,7 +173,7 @@
         try:
             while data := await stream.receive_some(READ_BYTES):
                 buffered += data
-                while (frame := take_frame(buffered)) is not None:
+                while (frame := pop_frame(buffered)) is not None:
                     if not await self._accept(frame):
                         return
         except (OSError, trio.BrokenResourceError):
@@ -181,7 +181,7 @@
 
     async def _accept(self, frame: bytes) -> bool:
         """Handle one frame; return False, to close the connection, if it is not authentic."""
-        opened = open_frame(self._key, frame)
+        opened = decode_frame(self._key, frame)
         if opened.is_error():
             self._counters.count(f"link.refused.{opened.error}")
             return False
--- a/siskinspoke/transport/pages.py
+++ b/siskinspoke/transport/pages.py
@@ -13,8 +13,8 @@
 from siskinspoke.core.latencies import Latencies
 from siskinspoke.transport.calls import Bounds, Call, Reply, serve_calls
 
-BOUNDS = Bounds(body_bytes=1_024, body_seconds=30.0)
-TEXT = "text/plain; version=0.0.4"
+BODY_LIMITS = Bounds(body_bytes=1_024, body_seconds=30.0)
+CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 class Page(NamedTuple):
@@ -44,9 +44,9 @@
 ) -> None:
     """Serve pages by path until cancelled."""
 
-    async def answer(call: Call) -> Reply:
+    async def handle(call: Call) -> Reply:
         make = pages.get(call.path)
         page = Page(404) if make is None else make()
-        return Reply(page.status, page.body, TEXT)
+        return Reply(page.status, page.body, CONTENT_TYPE)
 
-    await serve_calls(answer, BOUNDS, host, port, task_status=task_status)
+    await serve_calls(handle, BODY_LIMITS, host, port, task_status=task_status)
--- a/siskinspoke/transport/sockets.py
+++ b/siskinspoke/transport/sockets.py
@@ -28,9 +28,9 @@
     After a normal close the kernel would still send that data once a partition heals. The server
     could then run a request long after its caller was told that it failed.
     """
-    linger_none = b"\x01\x00\x00\x00\x00\x00\x00\x00"
+    zero_linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
     try:
-        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_none)
+        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
     except OSError:
         # The connection is already closed.
         return
--- a/tests/control/slow_group.py
+++ b/tests/control/slow_group.py
@@ -80,7 +80,7 @@
         await trio.sleep(DELIVERY_SECONDS)
         task = self._group.tasks.get(self._name)
         if task is not None:
-            await task.hear(item)
+            await task.receive(item)
 
 
 class SlowGroup:
@@ -161,13 +161,13 @@
         request = PublishRequest(version, {"version": version})
 
         async def accepts(task: ReplicaTask) -> bool:
-            return (await task.ask(PUBLISH, request, ASK_TIMEOUT_SECONDS)).value is not None
+            return (await task.execute(PUBLISH, request, ASK_TIMEOUT_SECONDS)).value is not None
 
         return await self._until_any(accepts, seconds)
 
     async def read(self, seconds: float) -> float:
         """Read from the VMs in turn until one answers; return the seconds taken or inf."""
-        return await self._until_any(lambda task: task.read_newest(0.7), seconds)
+        return await self._until_any(lambda task: task.wait_until_readable(0.7), seconds)
 
     async def _until_any(
         self, ask: Callable[[ReplicaTask], Awaitable[bool]], seconds: float
--- a/tests/control/test_feed_hub.py
+++ b/tests/control/test_feed_hub.py
@@ -5,7 +5,7 @@
 import trio
 from trio.testing import MockClock
 
-from siskinspoke.control.feed_hub import TURN_SECONDS, FeedHub, Held
+from siskinspoke.control.feed_hub import PUBLICATION_STAGGER_SECONDS, FeedHub, Held
 from siskinspoke.coordination.cells import MOST_VMS
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.watchers import rendezvous_order
@@ -13,14 +13,14 @@
 from siskinspoke.feeds.follower import FeedSet, Listener, Me
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import Follow
-from siskinspoke.transport.frames import LENGTH_BYTES, open_frame
+from siskinspoke.transport.frames import LENGTH_BYTES, decode_frame
 from tests.feeds.test_follower import Quiet
 
 ENTRY = "127.0.0.9"
 HUBS = ["127.0.0.1", "127.0.0.2", "127.0.0.3"]
 DOMAINS = dict(zip(HUBS, ("a", "b", "c"), strict=True))
-IN_TURN = rendezvous_order(ENTRY, HUBS)
-SOON_SECONDS = 1.0
+RANKED_HUBS = rendezvous_order(ENTRY, HUBS)
+TIMEOUT_SECONDS = 1.0
 
 
 class Site:
@@ -28,31 +28,31 @@
 
     def __init__(self, version: int = 1, domain: str = ""):
         self.domain = domain
-        self.held = dict.fromkeys(HUBS, Held(version, {}))
-        self.got: list[int] = []
+        self.configurations = dict.fromkeys(HUBS, Held(version, {}))
+        self.received_versions: list[int] = []
         self.version = version
         self.hubs: dict[str, FeedHub] = {}
         self.feeds: FeedSet | None = None
 
     def install(self, version, _document):
         """Record a received configuration."""
-        self.got.append(version)
+        self.received_versions.append(version)
         self.version = max(self.version, version)
 
     def publish(self, host, version):
         """Publish a configuration at one hub."""
-        self.held[host] = Held(version, {"version": version})
-        self.hubs[host].publish(*self.held[host])
+        self.configurations[host] = Held(version, {"version": version})
+        self.hubs[host].publish(*self.configurations[host])
 
-    async def until_has(self, version):
+    async def wait_for_version(self, version):
         """Wait until the entry VM has a configuration version."""
-        with trio.fail_after(SOON_SECONDS):
+        with trio.fail_after(TIMEOUT_SECONDS):
             while self.version < version:
                 await trio.sleep(0.005)
 
 
 @asynccontextmanager
-async def running(site: Site, directory: Directory | None = None):
+async def run_site(site: Site, directory: Directory | None = None):
     """Run hubs and follower; yield once the follower is connected to all hubs."""
     port = await free_port()
     async with trio.open_nursery() as nursery:
@@ -62,7 +62,7 @@
                 DOMAINS[host],
                 directory or Directory(4_800),
                 lambda: HUBS,
-                lambda host=host: site.held[host],
+                lambda host=host: site.configurations[host],
                 b"k",
                 Counters(),
                 Quiet(),
@@ -80,7 +80,7 @@
             Quiet(),
         )
         nursery.start_soon(site.feeds.run)
-        with trio.fail_after(SOON_SECONDS):
+        with trio.fail_after(TIMEOUT_SECONDS):
             while site.feeds.connected < len(HUBS):
                 await trio.sleep(0.005)
         yield site
@@ -95,10 +95,10 @@
     return port
 
 
-class TestTurns:
+class TestPublicationOrder:
     """Only one hub sends a configuration to a follower, unless that hub fails."""
 
-    def test_comes_once(self):
+    def test_follower_receives_one_copy(self):
         """Guards against sending a copy of each change from every hub.
 
         With six hubs and 88 entry VMs, a series of changes filled the entry VMs' links and delayed
@@ -106,71 +106,71 @@
         """
 
         async def run():
-            async with running(Site()) as site:
+            async with run_site(Site()) as site:
                 for host in HUBS:
                     site.publish(host, 2)
-                await site.until_has(2)
-                await trio.sleep(len(HUBS) * TURN_SECONDS)
-                assert site.got == [2]
+                await site.wait_for_version(2)
+                await trio.sleep(len(HUBS) * PUBLICATION_STAGGER_SECONDS)
+                assert site.received_versions == [2]
 
         trio.run(run)
 
-    def test_first_in_turn_does_not_know_it(self):
+    def test_first_hub_lacks_the_change(self):
         """The first hub is partitioned from the others and does not know the change."""
 
         async def run():
-            async with running(Site()) as site:
-                for host in IN_TURN[1:]:
+            async with run_site(Site()) as site:
+                for host in RANKED_HUBS[1:]:
                     site.publish(host, 2)
                 began = trio.current_time()
-                await site.until_has(2)
-                assert trio.current_time() - began < 2 * TURN_SECONDS
+                await site.wait_for_version(2)
+                assert trio.current_time() - began < 2 * PUBLICATION_STAGGER_SECONDS
 
         trio.run(run)
 
-    def test_storm_while_the_first_two_are_silent(self):
+    def test_series_of_changes_from_the_last_hub(self):
         """Each change is replaced by the next before the delay of the last hub ends."""
 
         async def run():
-            async with running(Site()) as site:
+            async with run_site(Site()) as site:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(site.until_has, 2)
+                    nursery.start_soon(site.wait_for_version, 2)
                     for version in range(2, 14):
-                        site.publish(IN_TURN[2], version)
-                        await trio.sleep(TURN_SECONDS / 2)
-                await site.until_has(13)
-                assert site.got == sorted(set(site.got))
+                        site.publish(RANKED_HUBS[2], version)
+                        await trio.sleep(PUBLICATION_STAGGER_SECONDS / 2)
+                await site.wait_for_version(13)
+                assert site.received_versions == sorted(set(site.received_versions))
 
         trio.run(run)
 
-    def test_one_that_has_none_gets_it_at_once(self):
+    def test_follower_without_configuration_receives_it_at_once(self):
         """An entry VM that has just started cannot serve its waiting callers yet."""
 
         async def run():
             site = Site(version=0)
-            site.held = dict.fromkeys(HUBS, Held(2, {"version": 2}))
-            async with running(site):
-                await site.until_has(2)
+            site.configurations = dict.fromkeys(HUBS, Held(2, {"version": 2}))
+            async with run_site(site):
+                await site.wait_for_version(2)
                 assert site.version == 2
 
         trio.run(run)
 
-    def test_hub_of_the_own_domain_comes_first(self):
+    def test_hub_in_same_domain_ranks_first(self):
         """Guards against sending 156 of 195 copies of a change between failure domains."""
 
         async def run(domain):
-            async with running(Site(domain=domain)) as site:
+            async with run_site(Site(domain=domain)) as site:
                 for host in HUBS:
                     follow = Follow("entry", ENTRY, 9, 1, domain)
                     site.hubs[host]._control_domains |= DOMAINS
-                    is_first = site.hubs[host]._turn(follow) == 0
+                    is_first = site.hubs[host]._publication_rank(follow) == 0
                     assert is_first == (DOMAINS[host] == domain)
 
         for domain in DOMAINS.values():
             trio.run(run, domain)
 
 
-class Session:
+class RecordingSession:
     """A follower that records the frames sent to it."""
 
     def __init__(self, host: str, peer_port: int, domain: str):
@@ -183,23 +183,27 @@
         self.frames.append(frame)
 
     @property
-    def heard(self) -> set[str]:
+    def renewed_servers(self) -> set[str]:
         """Return the servers whose renewals were received."""
-        opened = [open_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in self.frames]
-        return {server for renewals in opened for server, _, _ in renewals.items}
+        opened = [decode_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in self.frames]
+        return {
+            make_announcement for renewals in opened for make_announcement, _, _ in renewals.items
+        }
 
 
 class TestRenewals:
     """Which followers receive the renewals of a server."""
 
-    def renewed(self, entries: int) -> list[Session]:
+    def renew_all(self, entries: int) -> list[RecordingSession]:
         """Renew 60 engines in two domains and a plain server; return all followers."""
         directory = Directory(4_800)
         hub = FeedHub(
             HUBS[0], "a", directory, lambda: HUBS, lambda: None, b"k", Counters(), Quiet()
         )
-        sessions = [Session(f"g{number}", 9, "ab"[number % 2]) for number in range(entries)]
-        sessions.append(Session("control", 0, "b"))
+        sessions = [
+            RecordingSession(f"g{number}", 9, "ab"[number % 2]) for number in range(entries)
+        ]
+        sessions.append(RecordingSession("control", 0, "b"))
         hub._sessions = set(sessions)
         for number in range(60):
             said = server(f"engine-{number}", "m", "ab"[number % 2])
@@ -211,17 +215,17 @@
         hub._send_renewals()
         return sessions
 
-    def test_all_of_a_small_fleet_hear_all(self):
-        assert all(len(item.heard) == 61 for item in self.renewed(MOST_VMS))
+    def test_small_fleet_receives_all_renewals(self):
+        assert all(len(item.renewed_servers) == 61 for item in self.renew_all(MOST_VMS))
 
-    def test_large_fleet_hears_its_own_domain_and_small_services(self):
+    def test_large_fleet_receives_own_domain_and_small_services(self):
         """Guards against 14 KB/s of renewals per VM in a fleet of 870 servers."""
-        *entries, control = self.renewed(MOST_VMS + 1)
+        *entries, control = self.renew_all(MOST_VMS + 1)
         for item in entries:
             number = "ab".index(item.follow.failure_domain)
             engines = {f"engine-{index}" for index in range(number, 60, 2)}
-            assert item.heard == engines | {"plain"}
-        assert len(control.heard) == 61
+            assert item.renewed_servers == engines | {"plain"}
+        assert len(control.renewed_servers) == 61
 
 
 def server(name: str, service: str, domain: str) -> Announcement:
@@ -234,41 +238,41 @@
 class TestArrivals:
     """New servers are announced in batches, and a leave never overtakes a join."""
 
-    def hub(self) -> tuple[FeedHub, Session]:
+    def make_hub(self) -> tuple[FeedHub, RecordingSession]:
         """Return a hub with one follower."""
         hub = FeedHub(
             HUBS[0], "a", Directory(4_800), lambda: HUBS, lambda: None, b"k", Counters(), Quiet()
         )
-        session = Session("g1", 9, "a")
+        session = RecordingSession("g1", 9, "a")
         hub._sessions = {session}
         return hub, session
 
-    def told(self, session: Session) -> list[list[tuple[str, bool]]]:
+    def sent_batches(self, session: RecordingSession) -> list[list[tuple[str, bool]]]:
         """Return each message's servers and whether they are leaving."""
-        opened = [open_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in session.frames]
+        opened = [decode_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in session.frames]
         return [[(said.server, said.leaving) for said in item.announcements] for item in opened]
 
-    def test_sixty_servers_after_a_loss_of_all(self):
+    def test_sixty_servers_share_one_message(self):
         """Guards against one message per server and follower after a restart of all VMs.
 
         With 48 servers and 87 followers, these messages delayed new followers.
         """
 
         async def run():
-            hub, session = self.hub()
+            hub, session = self.make_hub()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(hub._tell_arrivals_forever)
+                nursery.start_soon(hub._send_queued_announcements)
                 for number in range(60):
                     hub.tell_soon([server(f"e{number}", "m", "a")])
                 await trio.sleep(1)
                 nursery.cancel_scope.cancel()
-            assert [len(item) for item in self.told(session)] == [60]
+            assert [len(item) for item in self.sent_batches(session)] == [60]
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
 
-    def test_leave_of_a_server_that_has_just_come(self):
-        hub, session = self.hub()
+    def test_leave_follows_a_queued_join(self):
+        hub, session = self.make_hub()
         said = server("e1", "m", "a")
         hub.tell_soon([said])
         hub.tell([said._replace(leaving=True)])
-        assert self.told(session) == [[("e1", False), ("e1", True)]]
+        assert self.sent_batches(session) == [[("e1", False), ("e1", True)]]
--- a/tests/control/test_publishes.py
+++ b/tests/control/test_publishes.py
@@ -40,7 +40,7 @@
             group.kill("r0", "r1")
             await trio.sleep(5)
             requests = [PublishRequest(version, {"version": version}) for version in (1, 2, 3)]
-            answers = [await group.tasks["r2"].ask(PUBLISH, request, 1) for request in requests]
+            answers = [await group.tasks["r2"].execute(PUBLISH, request, 1) for request in requests]
             return [answer.value is not None for answer in answers]
 
         assert run_slow_group(1, scenario) == [True, True, False]
@@ -56,7 +56,7 @@
             last_index = leader.replica.log.last_index
             for document in ({"version": 2}, {"version": 2, "other": 1}):
                 request = PublishRequest(2, document)
-                group.nursery.start_soon(leader.ask, PUBLISH, request, 5)
+                group.nursery.start_soon(leader.execute, PUBLISH, request, 5)
                 await trio.sleep(0.01)
             await leader.wait_for_version(1, 5)
             assert leader.machine.document == {"version": 2}
--- a/tests/control/test_reads.py
+++ b/tests/control/test_reads.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from siskinspoke.control.replica_events import Pending
+from siskinspoke.control.replica_events import PendingAnswer
 from siskinspoke.control.replica_task import ReplicaTask
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica_types import JoinGroup, Restored, Times
@@ -23,7 +23,7 @@
 class TestReads:
     """A read includes all configurations accepted before it."""
 
-    def test_a_stalled_disk_does_not_show_the_past(self):
+    def test_read_waits_for_a_stalled_disk(self):
         """Guards against reading an outdated version from a follower with a stalled disk.
 
         The follower knows that configurations are committed, but applies them only after its sync.
@@ -34,15 +34,15 @@
             task = make_task()
 
             async def leader_says(kind, request, seconds):
-                pending = Pending()
+                pending = PendingAnswer()
                 pending.resolve(5)
                 return pending
 
-            task.ask = leader_says
+            task.execute = leader_says
             task.replica.commit = 5
-            assert not await task.read_newest(0.05)
+            assert not await task.wait_until_readable(0.05)
             for index in range(1, 6):
                 task._apply(Entry(index, 1, "noop", None))
-            assert await task.read_newest(0.05)
+            assert await task.wait_until_readable(0.05)
 
         trio.run(run)
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -7,9 +7,9 @@
 from siskinspoke.feeds import follower
 from siskinspoke.feeds.follower import FeedSet, Listener, Me
 
-POWER_SECONDS = 0.35
-LONGEST_WAIT_SECONDS = 0.25
-FOR_LONG_SECONDS = 30
+POWER_ON_SECONDS = 0.35
+MAX_RECONNECT_SECONDS = 0.25
+OUTAGE_SECONDS = 30
 
 
 class Quiet:
@@ -19,7 +19,7 @@
         """Discard a line."""
 
 
-def feeds():
+def make_feed_set():
     """Return the feeds of an entry VM that knows one seed."""
     listener = Listener(print, print, print, print, lambda: 0)
     return FeedSet(
@@ -27,10 +27,10 @@
     )
 
 
-class TestFindingAgain:
+class TestReconnecting:
     """A control VM is connected soon after it becomes reachable."""
 
-    def test_control_vm_that_had_no_power(self, monkeypatch):
+    def test_control_vm_powers_on_late(self, monkeypatch):
         """Guards against a slow reconnect after a power loss of all VMs.
 
         Entry VMs are up 0.35 s before the first control VM. Connections to a VM without power hang
@@ -40,7 +40,7 @@
         found = []
 
         async def connect(*_args, **_kwargs):
-            if trio.current_time() - began < POWER_SECONDS:
+            if trio.current_time() - began < POWER_ON_SECONDS:
                 await trio.sleep_forever()
             found.append(trio.current_time() - began)
             raise OSError("enough is known")
@@ -51,13 +51,13 @@
             nonlocal began
             began = trio.current_time()
             with trio.move_on_after(2):
-                await feeds().run()
+                await make_feed_set().run()
 
         began = 0.0
         trio.run(run, clock=MockClock(autojump_threshold=0))
-        assert found[0] < POWER_SECONDS + LONGEST_WAIT_SECONDS
+        assert found[0] < POWER_ON_SECONDS + MAX_RECONNECT_SECONDS
 
-    def test_task_that_is_begun_anew(self, monkeypatch):
+    def test_restarted_task_reconnects(self, monkeypatch):
         """Guards against a restarted task that counts the connections of its last run as open."""
         tries = []
 
@@ -68,7 +68,7 @@
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
 
         async def run():
-            found = feeds()
+            found = make_feed_set()
             with trio.move_on_after(0.1):
                 await found.run()
             before = len(tries)
@@ -80,7 +80,7 @@
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
 
-    def test_control_vm_that_is_gone_costs_little(self, monkeypatch):
+    def test_attempts_to_an_unreachable_control_vm_are_limited(self, monkeypatch):
         tries = []
 
         async def connect(*_args, **_kwargs):
@@ -90,19 +90,19 @@
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
 
         async def run():
-            with trio.move_on_after(FOR_LONG_SECONDS):
-                await feeds().run()
+            with trio.move_on_after(OUTAGE_SECONDS):
+                await make_feed_set().run()
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
-        assert len(tries) < 6 * FOR_LONG_SECONDS
+        assert len(tries) < 6 * OUTAGE_SECONDS
 
 
-class TestCalledByControl:
+class TestControlUp:
     """An entry VM that knows only the seeds can be notified by a control VM that is up earlier."""
 
-    def test_follows_who_calls(self):
+    def test_follows_the_sender(self):
         async def run():
-            found = feeds()
+            found = make_feed_set()
             assert found.controls == ("10.0.0.2",)
             found.hear_control("10.0.0.7")
             assert found.controls == ("10.0.0.2", "10.0.0.7")
--- a/tests/protocol/test_events.py
+++ b/tests/protocol/test_events.py
@@ -11,7 +11,7 @@
     """Events are complete, wherever the received data is split."""
 
     @pytest.mark.parametrize("size", [1, 2, 3, 7, 1_000])
-    def test_any_cut(self, size):
+    def test_any_split(self, size):
         splitter, data, found = EventSplitter(), b"".join(EVENTS), []
         for start in range(0, len(data), size):
             found += splitter.feed(data[start : start + size])
@@ -19,7 +19,7 @@
         assert splitter.last_id == "2"
         assert splitter.rest == b""
 
-    def test_a_torn_event_stays_behind(self):
+    def test_incomplete_event_is_buffered(self):
         splitter = EventSplitter()
         assert splitter.feed(EVENTS[0] + b"id: 2\nda") == [EVENTS[0]]
         assert splitter.last_id == "1"
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -21,7 +21,7 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_refused_in_order(self, data):
+    def test_arbitrary_bytes_are_refused(self, data):
         assert decode_message(data).is_error()
 
 
@@ -53,12 +53,12 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
-    def test_any_crossing_gives_a_prefix_or_the_whole(self, data):
+    def test_mixed_chunks_give_a_prefix_or_the_whole(self, data):
         """Chunks of an abandoned attempt, a restarted engine and another request are mixed in."""
-        ours = chunks()
+        own = chunks()
         foreign = chunks(attempt=2) + chunks(incarnation=8) + chunks(request="q")
-        extra = data.draw(st.lists(st.sampled_from(ours + foreign), max_size=12))
-        mixed = list(ours)
+        extra = data.draw(st.lists(st.sampled_from(own + foreign), max_size=12))
+        mixed = list(own)
         for chunk in extra:
             mixed.insert(data.draw(st.integers(0, len(mixed))), chunk)
         assembler, text = Assembler("r", 1, 7, 0), ""
@@ -84,7 +84,7 @@
 class TestPrefixes:
     """Equal hashes mean equal prefixes."""
 
-    def test_names_follow_the_whole_prefix(self):
+    def test_hashes_depend_on_the_whole_prefix(self):
         block = BLOCK_TOKENS * CHARACTERS_PER_TOKEN
         first = prefix_blocks("a" * block + "b" * block)
         second = prefix_blocks("c" * block + "b" * block)
--- a/tests/transport/test_calls.py
+++ b/tests/transport/test_calls.py
@@ -8,8 +8,8 @@
 from siskinspoke.transport.calls import Bounds, Call, Reply, serve_calls
 
 BOUNDS = Bounds(body_bytes=1_000, body_seconds=0.3)
-SOUND = b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
-STRANGE = [
+VALID_REQUEST = b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
+UNUSUAL_REQUESTS = [
     b"HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n",
     b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
     b"GET /x HTTP/1.1\r\nHost: a\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n\r\n",
@@ -42,22 +42,22 @@
     return got
 
 
-class TestStrangeCalls:
+class TestUnusualRequests:
     """Guards against an unusual request that ends the server and with it the control VM."""
 
-    @pytest.mark.parametrize("data", [*STRANGE, SOUND.replace(b"/x", b"/fault")])
-    def test_others_are_answered(self, data):
+    @pytest.mark.parametrize("data", [*UNUSUAL_REQUESTS, VALID_REQUEST.replace(b"/x", b"/fault")])
+    def test_other_connections_are_served(self, data):
         async def run():
             async with trio.open_nursery() as nursery:
                 listeners = await nursery.start(serve_calls, answer, BOUNDS, "127.0.0.1", 0)
                 port = listeners[0].socket.getsockname()[1]
                 await exchange(port, data)
-                assert (await exchange(port, SOUND)).startswith(b"HTTP/1.1 200")
+                assert (await exchange(port, VALID_REQUEST)).startswith(b"HTTP/1.1 200")
                 nursery.cancel_scope.cancel()
 
         trio.run(run)
 
-    def test_spoilt_bytes(self):
+    def test_corrupted_bytes(self):
         async def run():
             rng = random.Random(1)
             async with trio.open_nursery() as nursery:
@@ -65,11 +65,11 @@
                 port = listeners[0].socket.getsockname()[1]
                 async with trio.open_nursery() as callers:
                     for _ in range(200):
-                        data = bytearray(rng.choice(STRANGE))
+                        data = bytearray(rng.choice(UNUSUAL_REQUESTS))
                         for _ in range(rng.randrange(1, 5)):
                             data[rng.randrange(len(data))] = rng.randrange(256)
                         callers.start_soon(exchange, port, bytes(data))
-                assert (await exchange(port, SOUND)).startswith(b"HTTP/1.1 200")
+                assert (await exchange(port, VALID_REQUEST)).startswith(b"HTTP/1.1 200")
                 nursery.cancel_scope.cancel()
 
         trio.run(run)
--- a/tests/transport/test_early.py
+++ b/tests/transport/test_early.py
@@ -28,10 +28,10 @@
     return str(path)
 
 
-class TestEarly:
+class TestEarlyListener:
     """Connections made during the imports of an entry VM wait and are served."""
 
-    def test_caller_of_that_time_is_served(self, tmp_path):
+    def test_early_connection_is_served(self, tmp_path):
         """Guards against refused connections while restarted entry VMs are not listening yet.
 
         A caller that connects 0.1 s after the restart retries only once, within the same half
@@ -56,7 +56,7 @@
 
         trio.run(run)
 
-    def test_file_that_the_environment_names(self, tmp_path, monkeypatch):
+    def test_settings_file_from_environment(self, tmp_path, monkeypatch):
         port = free_port()
         path = settings_file(tmp_path, public=f"{HOST}:{port}")
         monkeypatch.setenv(SETTINGS_VARIABLE, path)
@@ -65,13 +65,13 @@
             assert listener.getsockname() == (HOST, port)
         assert take_early(HOST, port) is None
 
-    def test_what_is_wrong_is_left_to_the_command(self, tmp_path):
+    def test_invalid_settings_are_ignored(self, tmp_path):
         for fields in ({}, {"public": ""}, {"public": 7}, {"public": "nobody"}):
             listen_early([f"--vm_file={settings_file(tmp_path, **fields)}"])
         listen_early([f"--vm_file={tmp_path / 'missing'}"])
         assert take_early(HOST, 1) is None
 
-    def test_address_that_is_taken(self, tmp_path):
+    def test_address_in_use(self, tmp_path):
         with socket.socket() as other:
             other.bind((HOST, 0))
             other.listen()
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinspoke.protocol.feed import Publication
-from siskinspoke.transport.frames import LENGTH_BYTES, frame_of, open_frame, take_frame
+from siskinspoke.transport.frames import LENGTH_BYTES, decode_frame, encode_frame, pop_frame
 
 
 class TestFrames:
@@ -12,15 +12,15 @@
     @pytest.mark.parametrize("routes", [0, 1, 1_000])
     def test_round_trip(self, routes):
         item = Publication(7, {"routes": [{"name": f"r{number}"} for number in range(routes)]})
-        buffered = bytearray(frame_of(b"k", item) + b"rest")
-        frame = take_frame(buffered)
-        assert open_frame(b"k", frame).ok == item
+        buffered = bytearray(encode_frame(b"k", item) + b"rest")
+        frame = pop_frame(buffered)
+        assert decode_frame(b"k", frame).ok == item
         assert buffered == b"rest"
 
-    def test_large_ones_are_packed(self):
+    def test_large_messages_are_compressed(self):
         item = Publication(7, {"routes": [{"name": "r", "number": n} for n in range(1_000)]})
-        assert len(frame_of(b"k", item)) < 10_000
+        assert len(encode_frame(b"k", item)) < 10_000
 
     def test_another_key(self):
-        frame = frame_of(b"k", Publication(7, {}))[LENGTH_BYTES:]
-        assert open_frame(b"other", frame).is_error()
+        frame = encode_frame(b"k", Publication(7, {}))[LENGTH_BYTES:]
+        assert decode_frame(b"other", frame).is_error()
--- a/tests/transport/test_httpx.py
+++ b/tests/transport/test_httpx.py
@@ -5,7 +5,7 @@
 
 FIRST = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 EXTRA = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
-RIGHT = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright"
+CORRECT = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright"
 
 
 class RawServer:
@@ -37,7 +37,7 @@
             await trio.aclose_forcefully(stream)
 
 
-def ask_twice(server: RawServer, pause: float) -> list[str]:
+def send_two_requests(server: RawServer, pause: float) -> list[str]:
     """Send two requests in sequence and return the bodies."""
     bodies = []
 
@@ -60,26 +60,26 @@
 class TestHttpx:
     """Unsolicited answers, immediate or late, and a close while a request is written."""
 
-    def test_an_extra_answer_at_once_reaches_the_wrong_caller(self):
+    def test_immediate_extra_answer_reaches_the_wrong_caller(self):
         """A server sends two answers to one request; the next caller receives the second."""
-        server = RawServer(FIRST + EXTRA, RIGHT)
-        assert ask_twice(server, 0.1) == ["first", "extra"]
+        server = RawServer(FIRST + EXTRA, CORRECT)
+        assert send_two_requests(server, 0.1) == ["first", "extra"]
         assert server.connections == 1
 
-    def test_a_late_answer_reaches_the_wrong_caller(self):
+    def test_late_extra_answer_reaches_the_wrong_caller(self):
         """The second answer arrives while the connection is in use again.
 
         The next caller cannot tell that it is not its own. The gateway therefore checks the request
         id of each answer before it forwards any data, which is impossible with HTTPX.
         """
-        server = RawServer(FIRST, RIGHT, later=EXTRA)
-        assert ask_twice(server, 0.0) == ["first", "extra"]
+        server = RawServer(FIRST, CORRECT, later=EXTRA)
+        assert send_two_requests(server, 0.0) == ["first", "extra"]
 
-    def test_a_close_as_a_request_is_written_proves_nothing(self):
+    def test_close_during_write_proves_nothing(self):
         """The error is the same whether or not the server has read the request."""
         server = RawServer(FIRST)
         try:
-            ask_twice(server, 0.0)
+            send_two_requests(server, 0.0)
         except* httpx.RemoteProtocolError:
             assert server.requests == 2
         else:
--- a/tests/transport/test_pages.py
+++ b/tests/transport/test_pages.py
@@ -46,7 +46,7 @@
 
         _run({"/readyz": lambda: Page(status[0])}, scenario)
 
-    def test_what_is_no_http_ends_its_connection_alone(self):
+    def test_invalid_http_closes_only_its_connection(self):
         async def scenario(port):
             bad = await trio.open_tcp_stream("127.0.0.1", port)
             await bad.send_all(b"\x00\x01nonsense\r\n\r\n")
