--- a/siskinspoke/control/app.py
+++ b/siskinspoke/control/app.py
@@ -126,12 +126,12 @@
 
     @app.get("/v1/orders/<name>")
     async def order_state(name: str) -> Response:
-        found = task.machine.orders.find(name)
-        if found is None:
+        record = task.machine.orders.find(name)
+        if record is None:
             return failure_response(
                 Failure(ResultCode.UNKNOWN_PATH, "this replica has no such order")
             )
-        return json_response(found._asdict())
+        return json_response(record._asdict())
 
     @app.get("/v1/configuration")
     async def configuration() -> Response:
--- a/siskinspoke/control/feed_hub.py
+++ b/siskinspoke/control/feed_hub.py
@@ -430,8 +430,10 @@
     """Return the renewals for followers in a failure domain, or all if ``domain`` is None."""
     return Renewals(
         [
-            (said.server, said.incarnation, said.seq)
-            for said in announcements
-            if domain is None or said.failure_domain == domain or said.service not in large_services
+            (announcement.server, announcement.incarnation, announcement.seq)
+            for announcement in announcements
+            if domain is None
+            or announcement.failure_domain == domain
+            or announcement.service not in large_services
         ]
     )
--- a/siskinspoke/control/group_daemon.py
+++ b/siskinspoke/control/group_daemon.py
@@ -165,14 +165,14 @@
         from siskinspoke.transport.calls import serve_calls
         from siskinspoke.transport.pages import metrics_pages, serve_pages
 
-        make_app, bounds = load_app()
+        make_app, limits = load_app()
         host, address = self._watch.settings.host, self._watch.settings.operators
         async with trio.open_nursery() as nursery:
             if metrics_port:
                 pages = metrics_pages(self._counters, parts.latencies)
                 nursery.start_soon(serve_pages, pages, host, metrics_port)
-            answer = make_app(parts).answer
-            await nursery.start(serve_calls, answer, bounds, address.host, address.port)
+            handle = make_app(parts).answer
+            await nursery.start(serve_calls, handle, limits, address.host, address.port)
             self._log.note("operators.open", port=address.port)
 
     async def _wait_for_stop_signal(self) -> None:
--- a/siskinspoke/control/replica_task.py
+++ b/siskinspoke/control/replica_task.py
@@ -343,8 +343,8 @@
             self._apply(entry)
         self._write(out)
         if out.committed or out.snapshot is not None:
-            progress, self._applied_changed = self._applied_changed, trio.Event()
-            progress.set()
+            event, self._applied_changed = self._applied_changed, trio.Event()
+            event.set()
         self._handle_role_change()
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
@@ -384,8 +384,8 @@
             self._notify_version_changed()
 
     def _notify_version_changed(self) -> None:
-        changed, self._version_changed = self._version_changed, trio.Event()
-        changed.set()
+        event, self._version_changed = self._version_changed, trio.Event()
+        event.set()
 
     def _handle_role_change(self) -> None:
         """Log a change of role; on loss of leadership, resolve pending entries as unknown."""
--- a/siskinspoke/feeds/follower.py
+++ b/siskinspoke/feeds/follower.py
@@ -45,10 +45,9 @@
 
 
 class Listener(NamedTuple):
-    """Handlers of messages from hubs, and the sources of what this VM sends to them.
+    """Handlers of messages from hubs, and sources of what this VM sends to them.
 
-    ``version`` returns the version of the current configuration, ``own_crashes`` the crash reports
-    of this VM.
+    The sources return the version of the current configuration and the crash reports of this VM.
     """
 
     on_publication: Callable[[int, dict], None]
--- a/siskinspoke/transport/calls.py
+++ b/siskinspoke/transport/calls.py
@@ -48,14 +48,14 @@
 
 
 async def serve_calls(
-    handle: CallHandler, bounds: Bounds, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
+    handle: CallHandler, limits: Bounds, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
 ) -> None:
     """Serve calls until cancelled."""
 
     async def serve_connection(stream: trio.SocketStream) -> None:
         connection = ClientConnection(stream, MAX_HEADER_BYTES)
         try:
-            while await _serve_call(handle, bounds, connection):
+            while await _serve_call(handle, limits, connection):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError, BadRequestError):
             # The client has disconnected or sent invalid HTTP; its connection is closed.
@@ -74,7 +74,7 @@
     )
 
 
-async def _serve_call(handle: CallHandler, bounds: Bounds, connection: ClientConnection) -> bool:
+async def _serve_call(handle: CallHandler, limits: Bounds, connection: ClientConnection) -> bool:
     """Answer one call; return False if the connection must be closed."""
     received = False
     with trio.move_on_after(IDLE_TIMEOUT_SECONDS):
@@ -82,10 +82,10 @@
     if not received:
         return False
     reply = Reply(408)
-    with trio.move_on_after(bounds.body_seconds) as timeout:
+    with trio.move_on_after(limits.body_seconds) as timeout:
         head = await connection.read_head()
         try:
-            body = await connection.read_body(bounds.body_bytes)
+            body = await connection.read_body(limits.body_bytes)
         except BadRequestError as error:
             await _send(connection, Reply(error.status or 400))
             return False
--- a/siskinspoke/transport/pages.py
+++ b/siskinspoke/transport/pages.py
@@ -45,8 +45,8 @@
     """Serve pages by path until cancelled."""
 
     async def handle(call: Call) -> Reply:
-        make = pages.get(call.path)
-        page = Page(404) if make is None else make()
+        render = pages.get(call.path)
+        page = Page(404) if render is None else render()
         return Reply(page.status, page.body, CONTENT_TYPE)
 
     await serve_calls(handle, BODY_LIMITS, host, port, task_status=task_status)
--- a/tests/control/slow_group.py
+++ b/tests/control/slow_group.py
@@ -25,7 +25,7 @@
 
 TIMES = Times(heartbeat_ms=100, election_ms=600)
 DELIVERY_SECONDS = 0.001
-ASK_TIMEOUT_SECONDS = 0.9
+EXECUTE_TIMEOUT_SECONDS = 0.9
 
 
 def virtual_now_ms() -> float:
@@ -161,7 +161,7 @@
         request = PublishRequest(version, {"version": version})
 
         async def accepts(task: ReplicaTask) -> bool:
-            return (await task.execute(PUBLISH, request, ASK_TIMEOUT_SECONDS)).value is not None
+            return (await task.execute(PUBLISH, request, EXECUTE_TIMEOUT_SECONDS)).value is not None
 
         return await self._until_any(accepts, seconds)
 
@@ -170,13 +170,13 @@
         return await self._until_any(lambda task: task.wait_until_readable(0.7), seconds)
 
     async def _until_any(
-        self, ask: Callable[[ReplicaTask], Awaitable[bool]], seconds: float
+        self, attempt: Callable[[ReplicaTask], Awaitable[bool]], seconds: float
     ) -> float:
         """Ask the VMs in turn until one succeeds; return the elapsed time, inf at the timeout."""
         began = trio.current_time()
         while trio.current_time() - began < seconds:
             for task in list(self.tasks.values()):
-                if await ask(task):
+                if await attempt(task):
                     return trio.current_time() - began
                 await trio.sleep(0.1)
         return float("inf")
--- a/tests/control/test_feed_hub.py
+++ b/tests/control/test_feed_hub.py
@@ -68,14 +68,14 @@
                 Quiet(),
             )
             await nursery.start(site.hubs[host].serve, host, port)
-        listener = Listener(site.install, print, lambda _: None, print, lambda: site.version)
-        listener = listener._replace(on_news=lambda _: None)
+        handlers = Listener(site.install, print, lambda _: None, print, lambda: site.version)
+        handlers = handlers._replace(on_news=lambda _: None)
         site.feeds = FeedSet(
             Me("entry", ENTRY, 9, site.domain),
             tuple(HUBS),
             port,
             b"k",
-            listener,
+            handlers,
             Counters(),
             Quiet(),
         )
@@ -186,9 +186,7 @@
     def renewed_servers(self) -> set[str]:
         """Return the servers whose renewals were received."""
         opened = [decode_frame(b"k", frame[LENGTH_BYTES:]).ok for frame in self.frames]
-        return {
-            make_announcement for renewals in opened for make_announcement, _, _ in renewals.items
-        }
+        return {server for renewals in opened for server, _, _ in renewals.items}
 
 
 class TestRenewals:
@@ -206,10 +204,10 @@
         sessions.append(RecordingSession("control", 0, "b"))
         hub._sessions = set(sessions)
         for number in range(60):
-            said = server(f"engine-{number}", "m", "ab"[number % 2])
-            directory.hear(said, 0)
-            hub.renew(said)
-        plain = server("plain", "p", "a")
+            announcement = make_announcement(f"engine-{number}", "m", "ab"[number % 2])
+            directory.hear(announcement, 0)
+            hub.renew(announcement)
+        plain = make_announcement("plain", "p", "a")
         directory.hear(plain, 0)
         hub.renew(plain)
         hub._send_renewals()
@@ -228,7 +226,7 @@
         assert len(control.renewed_servers) == 61
 
 
-def server(name: str, service: str, domain: str) -> Announcement:
+def make_announcement(name: str, service: str, domain: str) -> Announcement:
     """Return a server's announcement."""
     return Announcement(
         name, 1, 1, domain, "10.9.9.9", 1, "", service, False, False, 0, 0, 0, [], 0, 0
@@ -263,7 +261,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(hub._send_queued_announcements)
                 for number in range(60):
-                    hub.tell_soon([server(f"e{number}", "m", "a")])
+                    hub.tell_soon([make_announcement(f"e{number}", "m", "a")])
                 await trio.sleep(1)
                 nursery.cancel_scope.cancel()
             assert [len(item) for item in self.sent_batches(session)] == [60]
@@ -272,7 +270,7 @@
 
     def test_leave_follows_a_queued_join(self):
         hub, session = self.make_hub()
-        said = server("e1", "m", "a")
-        hub.tell_soon([said])
-        hub.tell([said._replace(leaving=True)])
+        announcement = make_announcement("e1", "m", "a")
+        hub.tell_soon([announcement])
+        hub.tell([announcement._replace(leaving=True)])
         assert self.sent_batches(session) == [[("e1", False), ("e1", True)]]
--- a/tests/control/test_reads.py
+++ b/tests/control/test_reads.py
@@ -33,12 +33,12 @@
         async def run():
             task = make_task()
 
-            async def leader_says(kind, request, seconds):
+            async def execute(kind, request, seconds):
                 pending = PendingAnswer()
                 pending.resolve(5)
                 return pending
 
-            task.execute = leader_says
+            task.execute = execute
             task.replica.commit = 5
             assert not await task.wait_until_readable(0.05)
             for index in range(1, 6):
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -21,9 +21,9 @@
 
 def make_feed_set():
     """Return the feeds of an entry VM that knows one seed."""
-    listener = Listener(print, print, print, print, lambda: 0)
+    handlers = Listener(print, print, print, print, lambda: 0)
     return FeedSet(
-        Me("entry-1", "10.0.0.1", 9), ("10.0.0.2",), 8, b"k", listener, Counters(), Quiet()
+        Me("entry-1", "10.0.0.1", 9), ("10.0.0.2",), 8, b"k", handlers, Counters(), Quiet()
     )
 
 
@@ -37,12 +37,12 @@
         instead of being refused. Callers' requests wait for a configuration meanwhile, and more of
         them are late with each 0.1 s.
         """
-        found = []
+        attempts = []
 
         async def connect(*_args, **_kwargs):
             if trio.current_time() - began < POWER_ON_SECONDS:
                 await trio.sleep_forever()
-            found.append(trio.current_time() - began)
+            attempts.append(trio.current_time() - began)
             raise OSError("enough is known")
 
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
@@ -55,7 +55,7 @@
 
         began = 0.0
         trio.run(run, clock=MockClock(autojump_threshold=0))
-        assert found[0] < POWER_ON_SECONDS + MAX_RECONNECT_SECONDS
+        assert attempts[0] < POWER_ON_SECONDS + MAX_RECONNECT_SECONDS
 
     def test_restarted_task_reconnects(self, monkeypatch):
         """Guards against a restarted task that counts the connections of its last run as open."""
@@ -68,15 +68,15 @@
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
 
         async def run():
-            found = make_feed_set()
+            feed_set = make_feed_set()
             with trio.move_on_after(0.1):
-                await found.run()
+                await feed_set.run()
             before = len(tries)
-            found._connected.add("10.0.0.2")
+            feed_set._connected.add("10.0.0.2")
             with trio.move_on_after(0.1):
-                await found.run()
+                await feed_set.run()
             assert len(tries) > before
-            assert found.connected == 0
+            assert feed_set.connected == 0
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
 
@@ -102,9 +102,9 @@
 
     def test_follows_the_sender(self):
         async def run():
-            found = make_feed_set()
-            assert found.controls == ("10.0.0.2",)
-            found.hear_control("10.0.0.7")
-            assert found.controls == ("10.0.0.2", "10.0.0.7")
+            feed_set = make_feed_set()
+            assert feed_set.controls == ("10.0.0.2",)
+            feed_set.hear_control("10.0.0.7")
+            assert feed_set.controls == ("10.0.0.2", "10.0.0.7")
 
         trio.run(run)
--- a/tests/transport/test_calls.py
+++ b/tests/transport/test_calls.py
@@ -31,15 +31,15 @@
 
 async def exchange(port: int, data: bytes) -> bytes:
     """Send bytes and return the first data received within 1 s."""
-    got = b""
+    received = b""
     with trio.move_on_after(1.0):
         try:
             async with await trio.open_tcp_stream("127.0.0.1", port) as stream:
                 await stream.send_all(data)
-                got = await stream.receive_some()
+                received = await stream.receive_some()
         except trio.BrokenResourceError:
-            return got
-    return got
+            return received
+    return received
 
 
 class TestUnusualRequests:
--- a/tests/transport/test_early.py
+++ b/tests/transport/test_early.py
@@ -16,9 +16,9 @@
 
 def free_port() -> int:
     """Return a port that is free."""
-    with socket.socket() as found:
-        found.bind((HOST, 0))
-        return found.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind((HOST, 0))
+        return probe.getsockname()[1]
 
 
 def settings_file(tmp_path, **fields) -> str:
