--- a/siskinspoke/control/order_task.py
+++ b/siskinspoke/control/order_task.py
@@ -1,4 +1,4 @@
-"""The task of a leading replica that carries orders to engines."""
+"""The task of the leader that sends orders to engines."""
 
 import httpx
 import msgspec
@@ -17,49 +17,49 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.transport.http import make_client
 
-LOOK_SECONDS = 0.1
-RECORD_SECONDS = 2.0
-REFUSED = 409
+POLL_SECONDS = 0.1
+RECORD_TIMEOUT_SECONDS = 2.0
+HTTP_CONFLICT = 409
 
 
 class OrderTask:
-    """Send pending orders while this replica leads, and record how they end."""
+    """Send pending orders while this replica is the leader, and record their results."""
 
     def __init__(
         self, task: ReplicaTask, counters: Counters, concurrent_loads: int, local_host: str
     ):
         self._task = task
         self._counters = counters
-        self._gate = OrderDispatcher(concurrent_loads)
+        self._dispatcher = OrderDispatcher(concurrent_loads)
         self._client = make_client(keep_alive=False, local_host=local_host)
 
     async def run(self) -> None:
-        """Look for orders forever."""
+        """Poll for pending orders until cancelled."""
         async with self._client, trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(LOOK_SECONDS)
+                await trio.sleep(POLL_SECONDS)
                 now = now_ms()
-                self._gate.update_leadership(self._task.leads, now)
+                self._dispatcher.update_leadership(self._task.is_leader, now)
                 pending = self._task.machine.orders.pending()
-                for record in self._gate.select(
+                for record in self._dispatcher.select(
                     pending, self._task.replica.lease_expires_at(), now
                 ):
-                    nursery.start_soon(self._carry_out, record)
+                    nursery.start_soon(self._send_and_record, record)
 
-    async def _carry_out(self, record: OrderRecord) -> None:
-        """Send one order, under a time limit, and record its end if it is known."""
+    async def _send_and_record(self, record: OrderRecord) -> None:
+        """Send one order, with a timeout, and record its result if it is known."""
         try:
-            end = await self._send(record)
-            if end is None and wall_ms() - record.given_ms > ORDER_LIFETIME_MS:
-                end = OrderEnd(record.number, False, "the engine did not answer in time")
-            if end is not None:
-                await self._task.propose(ORDER_END, end, RECORD_SECONDS)
-                logger.info("order {}: {}", record.request.order, end.detail)
+            result = await self._send(record)
+            if result is None and wall_ms() - record.given_ms > ORDER_LIFETIME_MS:
+                result = OrderEnd(record.number, False, "the engine did not answer in time")
+            if result is not None:
+                await self._task.propose(ORDER_END, result, RECORD_TIMEOUT_SECONDS)
+                logger.info("order {}: {}", record.request.order, result.detail)
         finally:
-            self._gate.mark_finished(record.number)
+            self._dispatcher.mark_finished(record.number)
 
     async def _send(self, record: OrderRecord) -> OrderEnd | None:
-        """Send an order; None where its fate is not known and it must be sent again."""
+        """Send an order; return None if the outcome is unknown and it must be sent again."""
         request = record.request
         url = f"http://{request.host}:{request.port}/v1/orders"
         body = {
@@ -75,7 +75,7 @@
             except httpx.HTTPError:
                 self._counters.count("order.failed")
                 return None
-            if response.status_code == REFUSED:
+            if response.status_code == HTTP_CONFLICT:
                 self._counters.count("order.refused")
                 return OrderEnd(record.number, False, "refused: a later order came first")
             if response.status_code == 200:
--- a/siskinspoke/transport/links.py
+++ b/siskinspoke/transport/links.py
@@ -1,7 +1,7 @@
-"""Links between control replicas: sealed messages in frames over TCP, each way its own.
+"""Links between control replicas: framed, sealed messages over one TCP connection per direction.
 
-HTTP would cost a replica 3 ms of CPU for each message; a frame costs a fraction of that, and
-a claim needs several messages.
+HTTP would cost a replica 3 ms of CPU time per message, and a claim takes several messages; a frame
+costs a fraction of that.
 """
 
 import contextlib
@@ -15,18 +15,18 @@
 from siskinspoke.core.counters import Counters
 from siskinspoke.transport.frames import (
     READ_BYTES,
-    frame_of,
-    open_frame,
+    decode_frame,
+    encode_frame,
+    pop_frame,
     send_frames,
-    take_frame,
 )
 from siskinspoke.transport.sockets import tune
 
-OUTBOX_MESSAGES = 512
-CONNECT_SECONDS = 0.5
-PAUSE_SECONDS = 0.1
+MAX_QUEUED_MESSAGES = 512
+CONNECT_TIMEOUT_SECONDS = 0.5
+RECONNECT_DELAY_SECONDS = 0.1
 
-Handler = Callable[[Any], Awaitable[None]]
+MessageHandler = Callable[[Any], Awaitable[None]]
 
 
 class LinkState(NamedTuple):
@@ -38,10 +38,10 @@
 
 
 class LinkSender:
-    """Own the connection to one peer; messages that cannot leave are dropped and counted.
+    """Send messages to one peer; messages that cannot be sent are counted and dropped.
 
-    Replication repeats what matters, so a full outbox may drop: a message that waited for a
-    cut to heal would be of no use.
+    The replication protocol retransmits, so messages may be dropped when the queue is full. After a
+    partition, messages queued since its start would be of no use.
     """
 
     def __init__(
@@ -51,13 +51,13 @@
         self._local_host = local_host
         self._key = key
         self._counters = counters
-        self._send, self._receive = trio.open_memory_channel[Any](OUTBOX_MESSAGES)
+        self._send, self._receive = trio.open_memory_channel[Any](MAX_QUEUED_MESSAGES)
         self._connected = False
         self._since = -math.inf
 
     @property
     def state(self) -> LinkState:
-        """Return the current state; ``since`` is on trio's clock."""
+        """The current state; ``since`` is a time on Trio's clock."""
         queued = self._receive.statistics().current_buffer_used
         return LinkState(self._connected, self._since, queued)
 
@@ -69,65 +69,65 @@
             self._counters.count("link.dropped")
 
     async def run(self) -> None:
-        """Connect and send forever; after a break, connect anew."""
+        """Send queued messages until cancelled, reconnecting after each failure."""
         while True:
             try:
-                with trio.fail_after(CONNECT_SECONDS):
+                with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
                     stream = await trio.open_tcp_stream(
                         *self._address, local_address=self._local_host
                     )
                 tune(stream.socket)
                 self._set_connected(True)
                 async with stream, trio.open_nursery() as nursery:
-                    nursery.start_soon(self._watch, stream, nursery.cancel_scope)
-                    nursery.start_soon(self._pump, stream, nursery.cancel_scope)
+                    nursery.start_soon(self._wait_for_close, stream, nursery.cancel_scope)
+                    nursery.start_soon(self._send_until_failure, stream, nursery.cancel_scope)
             except (OSError, trio.TooSlowError):
                 self._counters.count("link.broken")
             self._set_connected(False)
-            self._drain()
-            await trio.sleep(PAUSE_SECONDS)
+            self._drop_queued()
+            await trio.sleep(RECONNECT_DELAY_SECONDS)
 
     def _set_connected(self, connected: bool) -> None:
         if connected != self._connected:
             self._connected, self._since = connected, trio.current_time()
 
-    async def _watch(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """End the connection when the peer does.
+    async def _wait_for_close(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
+        """Close the connection when the peer closes it.
 
-        Followers send each other nothing until an election.  Without this the first vote
-        request goes into the connection of a peer that has restarted since, is lost, and the
-        election takes a timeout more.
+        Followers send each other nothing until an election. Without this check, the first vote
+        request would be lost on a connection to a peer that has restarted since, and the election
+        would take another timeout.
         """
         with contextlib.suppress(trio.BrokenResourceError):
             await stream.receive_some(1)
         self._counters.count("link.broken")
         scope.cancel()
 
-    async def _pump(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Send queued messages until the peer is gone or takes none in time."""
+    async def _send_until_failure(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
+        """Send queued messages until the connection fails or a write times out."""
         with contextlib.suppress(trio.BrokenResourceError, trio.TooSlowError):
             await self._send_forever(stream)
         scope.cancel()
 
     async def _send_forever(self, stream: trio.SocketStream) -> None:
         async for item in self._receive:
-            items = [item, *receive_queued(self._receive, OUTBOX_MESSAGES - 1)]
-            frames = [self._frame(item) for item in items]
+            items = [item, *receive_queued(self._receive, MAX_QUEUED_MESSAGES - 1)]
+            frames = [self._encode(item) for item in items]
             sent = await send_frames(stream, frames)
             self._counters.count("link.messages_sent", len(frames))
             self._counters.count("link.bytes_sent", sent)
 
-    def _frame(self, item: Any) -> bytes:
-        return frame_of(self._key, item)
+    def _encode(self, item: Any) -> bytes:
+        return encode_frame(self._key, item)
 
-    def _drain(self) -> None:
-        """Drop what has queued up for a peer that cannot be reached."""
+    def _drop_queued(self) -> None:
+        """Drop the messages queued for an unreachable peer."""
         for _ in receive_queued(self._receive, math.inf):
             self._counters.count("link.dropped")
 
 
 class LinkSet:
-    """Own the links to peers that come and go; a link is opened when it is first asked for."""
+    """Links to a changing set of peers; a link is opened when it is first used."""
 
     def __init__(self, open_link: Callable[[str], LinkSender], nursery: trio.Nursery):
         self._open_link = open_link
@@ -149,22 +149,22 @@
         """Return the state of each link by peer name."""
         return {name: link.state for name, (link, _) in self._links.items()}
 
-    def keep(self, names: Iterable[str]) -> None:
-        """Close the links to all peers but these."""
+    def close_all_except(self, names: Iterable[str]) -> None:
+        """Close the links to all peers other than ``names``."""
         for name in self._links.keys() - set(names):
             self._links.pop(name)[1].cancel()
 
 
 class LinkListener:
-    """Hand every authentic message of every peer to a handler."""
+    """Pass every authentic message from any peer to a handler."""
 
-    def __init__(self, key: bytes, counters: Counters, handle: Handler):
+    def __init__(self, key: bytes, counters: Counters, handle: MessageHandler):
         self._key = key
         self._counters = counters
         self._handle = handle
 
     async def serve(self, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen forever."""
+        """Accept connections until cancelled."""
         await trio.serve_tcp(self._read, port, host=host, task_status=task_status)
 
     async def _read(self, stream: trio.SocketStream) -> None:
@@ -173,15 +173,15 @@
         try:
             while data := await stream.receive_some(READ_BYTES):
                 buffered += data
-                while (frame := take_frame(buffered)) is not None:
+                while (frame := pop_frame(buffered)) is not None:
                     if not await self._accept(frame):
                         return
         except (OSError, trio.BrokenResourceError):
             self._counters.count("link.broken")
 
     async def _accept(self, frame: bytes) -> bool:
-        """Handle one frame; False ends the connection of a peer that is not ours."""
-        opened = open_frame(self._key, frame)
+        """Handle one frame; return False, to close the connection, if it is not authentic."""
+        opened = decode_frame(self._key, frame)
         if opened.is_error():
             self._counters.count(f"link.refused.{opened.error}")
             return False
--- a/tests/control/slow_group.py
+++ b/tests/control/slow_group.py
@@ -25,7 +25,7 @@
 
 TIMES = Times(heartbeat_ms=100, election_ms=600)
 DELIVERY_SECONDS = 0.001
-ASK_TIMEOUT_SECONDS = 0.9
+EXECUTE_TIMEOUT_SECONDS = 0.9
 
 
 def virtual_now_ms() -> float:
@@ -80,7 +80,7 @@
         await trio.sleep(DELIVERY_SECONDS)
         task = self._group.tasks.get(self._name)
         if task is not None:
-            await task.hear(item)
+            await task.receive(item)
 
 
 class SlowGroup:
@@ -161,22 +161,22 @@
         request = PublishRequest(version, {"version": version})
 
         async def accepts(task: ReplicaTask) -> bool:
-            return (await task.ask(PUBLISH, request, ASK_TIMEOUT_SECONDS)).value is not None
+            return (await task.execute(PUBLISH, request, EXECUTE_TIMEOUT_SECONDS)).value is not None
 
         return await self._until_any(accepts, seconds)
 
     async def read(self, seconds: float) -> float:
         """Read from the VMs in turn until one answers; return the seconds taken or inf."""
-        return await self._until_any(lambda task: task.read_newest(0.7), seconds)
+        return await self._until_any(lambda task: task.wait_until_readable(0.7), seconds)
 
     async def _until_any(
-        self, ask: Callable[[ReplicaTask], Awaitable[bool]], seconds: float
+        self, attempt: Callable[[ReplicaTask], Awaitable[bool]], seconds: float
     ) -> float:
         """Ask the VMs in turn until one succeeds; return the elapsed time, inf at the timeout."""
         began = trio.current_time()
         while trio.current_time() - began < seconds:
             for task in list(self.tasks.values()):
-                if await ask(task):
+                if await attempt(task):
                     return trio.current_time() - began
                 await trio.sleep(0.1)
         return float("inf")
