--- a/siskinspoke/analysis/losses.py
+++ b/siskinspoke/analysis/losses.py
@@ -146,9 +146,9 @@
     def to_text(self) -> str:
         """Return the counts as text, the most frequent cause of each route first."""
         rows = []
-        for route, asked in sorted(self.request_counts.items()):
-            lost = self.failure_counts.get(route, Counter())
-            rows.append(f"{route}: {asked} requests, {asked - lost.total()} ok")
-            rows += [f"  {count:5}  {cause.value}" for cause, count in lost.most_common()]
+        for route, total in sorted(self.request_counts.items()):
+            failures = self.failure_counts.get(route, Counter())
+            rows.append(f"{route}: {total} requests, {total - failures.total()} ok")
+            rows += [f"  {count:5}  {cause.value}" for cause, count in failures.most_common()]
         rows += [f"example: {cause.value}: {name}" for cause, name in self.examples.items()]
         return "\n".join(rows)
--- a/siskinspoke/bench/crash_slopes.py
+++ b/siskinspoke/bench/crash_slopes.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from siskinspoke.coordination.crash_watch import CrashWatch
-from siskinspoke.coordination.crashes import MOST_CRASHES
-from siskinspoke.coordination.fingerprints import Subject
+from siskinspoke.coordination.crashes import MAX_CRASHES
+from siskinspoke.coordination.fingerprints import RequestIdentity
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol import encode_message
 from siskinspoke.protocol.crashes import CrashNews
@@ -31,9 +31,9 @@
         """Discard a log entry."""
 
 
-def subject(number: int, size: int = 200) -> Subject:
+def subject(number: int, size: int = 200) -> RequestIdentity:
     """Return a distinct request for each number, with a body of about ``size`` bytes."""
-    return Subject("acme", "shop.example/stream/x", b"%d" % number + b"x" * size)
+    return RequestIdentity("acme", "shop.example/stream/x", b"%d" % number + b"x" * size)
 
 
 def cpu_microseconds(operation: Callable[[], Any], repetitions: int = REPETITIONS) -> float:
@@ -54,9 +54,9 @@
         start, at = (f"i-{number:010x}", 0), number * CRASH_INTERVAL_MS
         bodies = [0, *range(number * SUSPECTS_PER_CRASH + 1, (number + 1) * SUSPECTS_PER_CRASH)]
         for body in bodies:
-            watch.began(subject(body), [start], at - 100.0)
-        watch.crashed(start, "m", SERVER_COUNT, at, at)
-        watch._open.clear()
+            watch.start_run(subject(body), [start], at - 100.0)
+        watch.record_crash(start, "m", SERVER_COUNT, at, at)
+        watch._open_runs.clear()
     return watch
 
 
@@ -73,12 +73,12 @@
         print(f"fingerprint of {size:,} bytes: {cost:.0f} us")
     published: list[CrashNews] = []
     began = time.process_time()
-    watch = watch_after_crashes(published, MOST_CRASHES)
+    watch = watch_after_crashes(published, MAX_CRASHES)
     cpu_seconds = time.process_time() - began
-    now = MOST_CRASHES * CRASH_INTERVAL_MS + 1_000.0
+    now = MAX_CRASHES * CRASH_INTERVAL_MS + 1_000.0
     print(
         f"detect and publish a crash, {SUSPECTS_PER_CRASH} suspects: "
-        f"{cpu_seconds / MOST_CRASHES * 1e6:.0f} us"
+        f"{cpu_seconds / MAX_CRASHES * 1e6:.0f} us"
     )
     print(f"message about one crash: {len(encode_message(published[-1]))} bytes")
     report = published[-1].crashes[0]
@@ -87,30 +87,30 @@
     other = CrashWatch(lambda news: None, Counters(), NullLog())
     tracemalloc.start()
     for news in published:
-        other.hear(news, now)
-    print(f"memory of {MOST_CRASHES} crashes: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB")
+        other.apply(news, now)
+    print(f"memory of {MAX_CRASHES} crashes: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB")
     tracemalloc.stop()
     other = CrashWatch(lambda news: None, Counters(), NullLog())
     began = time.process_time()
     for news in published:
-        other.hear(news, now)
+        other.apply(news, now)
     cpu_seconds = time.process_time() - began
-    print(f"apply a received crash: {cpu_seconds / MOST_CRASHES * 1e6:.0f} us")
+    print(f"apply a received crash: {cpu_seconds / MAX_CRASHES * 1e6:.0f} us")
     unrelated = subject(-1, 201)
     print(
-        f"check an unrelated request, {MOST_CRASHES} crashes known: "
+        f"check an unrelated request, {MAX_CRASHES} crashes known: "
         f"{cpu_microseconds(lambda: watch.judge(unrelated, now)):.1f} us"
     )
 
     def judge_uncached() -> None:
-        watch.ledger._cases.clear()
+        watch.ledger._evidence.clear()
         watch.judge(recurring, now)
 
     print(
         "check a request open at every crash, uncached: "
         f"{cpu_microseconds(judge_uncached, 5):.0f} us"
     )
-    snapshot = sum(len(encode_message(item)) for item in watch.all_news(now))
+    snapshot = sum(len(encode_message(item)) for item in watch.all_reports(now))
     print(f"messages sent to a new member: {snapshot:,} bytes")
 
 
--- a/siskinspoke/bench/pass_bench.py
+++ b/siskinspoke/bench/pass_bench.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from siskinspoke.coordination.books import Books, Job, Work
-from siskinspoke.coordination.passes import Writer, pass_ms, read_ms
+from siskinspoke.coordination.books import Job, Work, WorkTable
+from siskinspoke.coordination.passes import DecodingStream, pass_ms, prefill_ms
 from siskinspoke.coordination.placement import Candidate, Place, Placement
 from siskinspoke.coordination.routes import EngineCosts
-from siskinspoke.coordination.widening import ASKED_CELLS, best_offer, is_short
+from siskinspoke.coordination.widening import ASKED_CELLS, best_offer, lacks_room
 
 SMALL = EngineCosts(8, 315_000, 51, 0.85, 0.0085, 0.00285, 177.0, 0.184)
 LARGE = EngineCosts(6, 267_750, 57, 0.85, 0.0085, 0.00285, 177.0, 0.184)
@@ -128,7 +128,7 @@
     ``widens`` tells whether a cell that lacks room asks ``ASKED_CELLS`` others for offers.
     """
 
-    def __init__(self, books: Books, cells: int, widens: bool = True):
+    def __init__(self, books: WorkTable, cells: int, widens: bool = True):
         super().__init__(books)
         self._cells = cells
         self._widens = widens
@@ -144,7 +144,7 @@
         """Return the place for a job that arrives at a random cell."""
         own, *others = rng.sample(range(self._cells), 1 + ASKED_CELLS)
         local = self._choose_in_cell(own, costs, job, candidates, now, rng)
-        if not self._widens or not is_short(local, job.target_ms):
+        if not self._widens or not lacks_room(local, job.target_ms):
             return local
         offers = [self._choose_in_cell(cell, costs, job, candidates, now, rng) for cell in others]
         return best_offer(local, [place for place in offers if place is not None]) or local
@@ -233,9 +233,11 @@
             budget -= tokens
             prefills.append(prompt)
         self.prefill_queue = [item for item in self.prefill_queue if item not in prefills]
-        duration = sum(read_ms(self.costs, item.job.tokens, len(item.servers)) for item in prefills)
+        duration = sum(
+            prefill_ms(self.costs, item.job.tokens, len(item.servers)) for item in prefills
+        )
         unsplit = [item for item in prefills if len(item.servers) == 1]
-        streams = [Writer(item.job.tokens) for item in (*self.decoding, *unsplit)]
+        streams = [DecodingStream(item.job.tokens) for item in (*self.decoding, *unsplit)]
         return duration + pass_ms(self.costs, streams), prefills
 
 
@@ -246,13 +248,13 @@
         self,
         load: Load,
         seed: int,
-        placement: Callable[[Books], Placement] = Placement,
+        placement: Callable[[WorkTable], Placement] = Placement,
         max_wait_factor: float = math.inf,
     ):
         self._load = load
         self._max_wait_factor = max_wait_factor
         self._rng = random.Random(seed)
-        self._books = Books()
+        self._books = WorkTable()
         self._placement = placement(self._books)
         self._engines = {
             name: ModelEngine(name, load.costs)
@@ -314,7 +316,7 @@
 
     def _release_slot(self, head: ModelEngine, prompt: Prompt) -> None:
         """Release a prompt's slot and admit the next prompt in the queue."""
-        self._schedule(self._load.lag_ms, self._books.end, str(id(prompt)))
+        self._schedule(self._load.lag_ms, self._books.remove, str(id(prompt)))
         if prompt in head.slot_queue:
             head.slot_queue.remove(prompt)
             return
@@ -324,7 +326,7 @@
 
     def _expected_wait_ms(self, prompt: Prompt, place: Place) -> float:
         """Return the expected time to first token without the prompt's own prefill."""
-        return place.first_token_ms - read_ms(
+        return place.first_token_ms - prefill_ms(
             self._load.costs, prompt.job.tokens, len(place.servers)
         )
 
@@ -344,7 +346,7 @@
         prompt.servers, prompt.held_tokens = place.servers, place.held
         name = str(id(prompt))
         work = Work(prompt.job, place.servers, now, place.held)
-        self._schedule(self._load.lag_ms, self._books.begin, name, work)
+        self._schedule(self._load.lag_ms, self._books.add, name, work)
         head = self._engines[place.servers[0]]
         prompt.parts_left = len(place.servers)
         if head.used_slots >= costs.slots:
@@ -389,7 +391,7 @@
         prompt.events_sent += 1
         if prompt.first_token_ms is None:
             prompt.first_token_ms = self.now - prompt.arrived_at
-            self._schedule(self._load.lag_ms, self._books.wrote, str(id(prompt)))
+            self._schedule(self._load.lag_ms, self._books.mark_first_token, str(id(prompt)))
         else:
             prompt.longest_pause = max(prompt.longest_pause, self.now - prompt.last_event_at)
         prompt.last_event_at = self.now
--- a/siskinspoke/bench/policies.py
+++ b/siskinspoke/bench/policies.py
@@ -8,14 +8,14 @@
 
 from siskinspoke.coordination.directory import Directory, ServerRecord
 from siskinspoke.coordination.prefixes import PrefixIndex
-from siskinspoke.coordination.routing import RANKS, Choice, Router, Work
+from siskinspoke.coordination.routing import RANKS, Choice, Router, RoutingRequest
 from siskinspoke.core.codes import Failure, ResultCode
 
 LONG_PROMPT_SERVER_SHARE = 0.4
 
 
 @dataclass(frozen=True)
-class Product:
+class ProductPolicy:
     """The product's router: engines schedule prompts with priorities by length."""
 
 
@@ -55,7 +55,7 @@
 
 
 Policy = (
-    Product
+    ProductPolicy
     | RandomChoice
     | RoundRobin
     | LeastRequests
@@ -66,7 +66,7 @@
 )
 
 POLICIES: dict[str, Policy] = {
-    "product": Product(),
+    "product": ProductPolicy(),
     "random": RandomChoice(),
     "round-robin": RoundRobin(),
     "least-requests": LeastRequests(),
@@ -90,19 +90,21 @@
     @property
     def uses_priorities(self) -> bool:
         """Return whether engines are given priorities."""
-        return isinstance(self._policy, Product)
+        return isinstance(self._policy, ProductPolicy)
 
-    def rank(self, work: Work) -> int:
+    def rank(self, work: RoutingRequest) -> int:
         """Return the priority that is sent to the engine."""
         return work.rank if self.uses_priorities else 0
 
-    def choose(self, work: Work, now: float, rng: random.Random) -> Result[Choice, Failure]:
+    def choose(
+        self, work: RoutingRequest, now: float, rng: random.Random
+    ) -> Result[Choice, Failure]:
         """Choose a server by the policy."""
-        serving = self.directory.serving(work.service, now)
+        serving = self.directory.live_servers_of(work.service, now)
         if not serving:
             return Error(Failure(ResultCode.NO_SERVER, "none"))
         match self._policy:
-            case Product():
+            case ProductPolicy():
                 return super().choose(work, now, rng)
             case RandomChoice():
                 return self._choice_of(rng.choice(serving), work)
@@ -137,7 +139,7 @@
                     lambda r: self._estimate_without_priorities_ms(r, work, now),
                 )
 
-    def _choice_of(self, record: ServerRecord, work: Work) -> Result[Choice, Failure]:
+    def _choice_of(self, record: ServerRecord, work: RoutingRequest) -> Result[Choice, Failure]:
         return Ok(Choice((record,), 0.0, self.uncached_tokens(record, work)))
 
     def _cheapest(self, records, work, rng, cost) -> Result[Choice, Failure]:
@@ -148,18 +150,20 @@
         return record.announcement.running + sum(1 for _ in self._unreported(record))
 
     def _estimate_without_priorities_ms(
-        self, record: ServerRecord, work: Work, now: float
+        self, record: ServerRecord, work: RoutingRequest, now: float
     ) -> float:
         return self.estimate_ms(record, work._replace(priority=RANKS), now)
 
-    def _recent_long_share(self, work: Work) -> float:
+    def _recent_long_share(self, work: RoutingRequest) -> float:
         """Return the share of long prompts in recent work, exponentially weighted."""
         self._all_work = self._all_work * 0.995 + work.prompt_tokens
         long_work = work.prompt_tokens if work.length_class == 2 else 0
         self._long_work = self._long_work * 0.995 + long_work
         return min(0.9, max(0.1, self._long_work / self._all_work))
 
-    def _servers_for_length(self, serving, work: Work, share: float) -> list[ServerRecord]:
+    def _servers_for_length(
+        self, serving, work: RoutingRequest, share: float
+    ) -> list[ServerRecord]:
         ordered = sorted(serving, key=lambda record: record.announcement.server)
         count = max(1, min(len(ordered) - 1, round(len(ordered) * share)))
         return ordered[:count] if work.length_class == 2 else ordered[count:]
--- a/siskinspoke/bench/policy_bench.py
+++ b/siskinspoke/bench/policy_bench.py
@@ -13,10 +13,10 @@
 import numpy as np
 import xxhash
 
-from siskinspoke.bench.policies import Policy, PolicyRouter, Product, SharedPool
+from siskinspoke.bench.policies import Policy, PolicyRouter, ProductPolicy, SharedPool
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.fairness import FairShares, patience_ms, work_tokens
-from siskinspoke.coordination.routing import RANKS, Ticket, Work, length_class
+from siskinspoke.coordination.fairness import FairShares, max_backlog_ms, work_tokens
+from siskinspoke.coordination.routing import RANKS, DispatchId, RoutingRequest, length_class
 from siskinspoke.loadgen.mixes import Arrival, Mix, arrivals
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.prefix import BLOCK_TOKENS
@@ -36,7 +36,7 @@
     """The parameters of one simulation run."""
 
     mix: Mix
-    policy: Policy = Product()
+    policy: Policy = ProductPolicy()
     rate: float = 10.0
     count: int = 2_000
     seed: int = 1
@@ -70,7 +70,7 @@
 class _RunningAttempt(NamedTuple):
     arrival: Arrival
     entry: int
-    ticket: Ticket
+    ticket: DispatchId
     began_ms: float
     ideal_ms: float
     timeout_ms: float
@@ -115,8 +115,8 @@
             if scenario.without_longs and tokens >= LONG_TOKENS:
                 continue
             item = arrival._replace(prompt_tokens=tokens)
-            self._schedule(1_000 + arrival.at * 1000, lambda item=item: self._arrive(item))
-        last = 1_000 + arrival.at * 1000
+            self._schedule(1_000 + arrival.due_seconds * 1000, lambda item=item: self._arrive(item))
+        last = 1_000 + arrival.due_seconds * 1000
         while self._events and (self.now < last or self._running):
             self.now, _, callback = heapq.heappop(self._events)
             callback()
@@ -144,7 +144,7 @@
             engine.parameters.memory_tokens,
             engine.free_tokens,
             engine.running,
-            engine.queued(RANKS),
+            engine.queued_prefill_tokens(RANKS),
             engine.parameters.prefill_rate,
             engine.accepted,
         )
@@ -155,7 +155,7 @@
 
     def _deliver_report(self, announcement: Announcement) -> None:
         for router in self._routers:
-            router.directory.hear(announcement, self.now)
+            router.directory.apply(announcement, self.now)
 
     def _arrive(self, arrival: Arrival) -> None:
         entry = arrival.number % self.scenario.entries
@@ -163,7 +163,7 @@
         kind = length_class(arrival.prompt_tokens, SHORT_TOKENS, LONG_TOKENS)
         ideal = self._ideal_ms(arrival)
         timeout = BASE_TIMEOUT_MS + TIMEOUT_FACTOR * ideal
-        work = Work(
+        work = RoutingRequest(
             "model",
             arrival.prompt_tokens,
             arrival.max_tokens,
@@ -197,11 +197,11 @@
 
     def _admits(self, entry: int, arrival: Arrival, choice, timeout: float) -> bool:
         """Return whether the product's fair-share admission accepts a request."""
-        if not (self.scenario.admission and isinstance(self.scenario.policy, Product)):
+        if not (self.scenario.admission and isinstance(self.scenario.policy, ProductPolicy)):
             return True
         shares = self._shares[entry]
         ratio = shares.ratio(arrival.customer, self._weights, self.now)
-        if choice.backlog_ms > patience_ms(ratio, self.scenario.backlog_ms):
+        if choice.backlog_ms > max_backlog_ms(ratio, self.scenario.backlog_ms):
             return False
         amount = work_tokens(choice.uncached_tokens, arrival.max_tokens)
         shares.record(arrival.customer, amount, self.now)
@@ -213,7 +213,7 @@
         The first blocks are shared by prompts with equal customer and template.
         """
         total = arrival.prompt_tokens // BLOCK_TOKENS
-        shared_count = int(total * self.scenario.mix.shared)
+        shared_count = int(total * self.scenario.mix.shared_prefix_share)
         prefix_hash = xxhash.xxh32_intdigest(f"{arrival.customer}/{arrival.template}".encode())
         suffix_base = (arrival.number + 1) << 40
         return [(prefix_hash << 16) + n for n in range(shared_count)] + [
@@ -277,7 +277,7 @@
     return float(np.percentile(values, share * 100)) if values else float("nan")
 
 
-def first_tokens(results: list[Result], kind: int) -> list[float]:
+def first_token_times(results: list[Result], kind: int) -> list[float]:
     """Return the times to first token of one length class."""
     return [r.first_ms for r in results if r.length_class == kind and r.first_ms is not None]
 
@@ -311,7 +311,7 @@
     done = [
         work_of(item)
         for item in results
-        if item.on_time and began <= item.arrival.at * 1000 + item.total_ms < ended
+        if item.on_time and began <= item.arrival.due_seconds * 1000 + item.total_ms < ended
     ]
     return sum(done) / (ended - began) * 1000
 
@@ -367,6 +367,8 @@
     results = PolicyBench(saturated).run()
     end = SATURATING_COUNT / SATURATING_RATE * 1000
     began, ended = end * 0.3, end * 0.95
-    done = sum(work_of(r) for r in results if began <= r.arrival.at * 1000 + r.total_ms < ended)
+    done = sum(
+        work_of(r) for r in results if began <= r.arrival.due_seconds * 1000 + r.total_ms < ended
+    )
     mean = sum(work_of(r) for r in results) / len(results)
     return done / (ended - began) * 1000 / mean
--- a/siskinspoke/bench/report.py
+++ b/siskinspoke/bench/report.py
@@ -83,8 +83,8 @@
     return Row(
         job,
         rate_at_capacity,
-        bench.percentile(bench.first_tokens(results, 0), 0.95),
-        bench.percentile(bench.first_tokens(alone, 0), 0.95),
+        bench.percentile(bench.first_token_times(results, 0), 0.95),
+        bench.percentile(bench.first_token_times(alone, 0), 0.95),
         tuple(bench.percentile(bench.stretches(results, kind), 0.5) for kind in kinds),
         tuple(bench.percentile(bench.stretches(results, kind), 0.95) for kind in kinds),
         tuple(bench.on_time_share(results, kind) for kind in kinds),
--- a/siskinspoke/bench/slopes.py
+++ b/siskinspoke/bench/slopes.py
@@ -20,8 +20,8 @@
 
 from siskinspoke.core.counters import Counters
 from siskinspoke.entry.control_client import ControlClient
-from siskinspoke.loadgen.client import Caller, prompt_text
-from siskinspoke.management.operators import Operator
+from siskinspoke.loadgen.client import ApiClient, prompt_text
+from siskinspoke.management.operators import OperatorClient
 from siskinspoke.protocol.announcements import Announcement, Spread, load_of
 from siskinspoke.protocol.claims import ClaimRequest, SettleRequest, Target
 from siskinspoke.testing.fleet import Fleet, wait_until
@@ -270,7 +270,7 @@
     points = [Point(0, 0.0, memory_mb(site.fleet.pid(name)))]
 
     async def hold(count: int) -> None:
-        async with Caller([site.entry_address(name)]) as caller, trio.open_nursery() as nursery:
+        async with ApiClient([site.entry_address(name)]) as caller, trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(
                     caller.complete, "redactor", customer_key(CUSTOMER), prompt, 400, 600_000
@@ -290,20 +290,20 @@
 def measure_changes(site) -> dict[str, float]:
     """Measure the time from submitting a configuration until all entry VMs have it in force."""
     times = []
-    with Operator(site.fleet.settings) as operator:
+    with OperatorClient(site.fleet.settings) as operator:
         document = dict(site.fleet.settings.configuration_document)
         version = operator.control_status(site.fleet.leader()).document["configuration_version"]
         for number in range(40):
             body = {"order": f"m{number}", "operator": "m", "expect": version + number}
             began = time.monotonic()
-            operator.ask_leader("/v1/configuration", body | {"document": document}, 6)
-            missing = operator.wait_in_force(version + number + 1, 3)
+            operator.post_to_leader("/v1/configuration", body | {"document": document}, 6)
+            missing = operator.wait_until_applied(version + number + 1, 3)
             times.append(time.monotonic() - began if not missing else 9.0)
         began = time.monotonic()
         for number in range(40, 90):
             body = {"order": f"m{number}", "operator": "m", "expect": version + number}
-            operator.ask_leader("/v1/configuration", body | {"document": document}, 6)
-        missing = operator.wait_in_force(version + 90, 3)
+            operator.post_to_leader("/v1/configuration", body | {"document": document}, 6)
+        missing = operator.wait_until_applied(version + 90, 3)
         burst = time.monotonic() - began if not missing else 9.0
     return {
         "p50_s": float(np.percentile(times, 50)),
--- a/siskinspoke/conf/vm.py
+++ b/siskinspoke/conf/vm.py
@@ -23,7 +23,7 @@
         return f"{self.host}:{self.port}"
 
 
-def address_from(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parse ``HOST:PORT``."""
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
@@ -61,10 +61,10 @@
     failure_domain: str
     seeds: tuple[Address, ...]
     internal_ports: tuple[int, int]
-    found: bool
-    public: Address | None
-    ready: Address | None
-    operators: Address | None
+    is_first_start: bool
+    public_address: Address | None
+    readiness_address: Address | None
+    operator_address: Address | None
     data_folder: str
     shutdown_seconds: float
     announce_every_ms: float
@@ -105,7 +105,7 @@
 
 
 def _parse_optional_address(text: str) -> Address | None:
-    return address_from(text) if text else None
+    return parse_address(text) if text else None
 
 
 def _to_vm_settings(vm_file: VmFile) -> VmSettings:
@@ -117,12 +117,12 @@
         name=vm_file.name,
         host=vm_file.host,
         failure_domain=vm_file.failure_domain,
-        seeds=tuple(address_from(item) for item in vm_file.seeds),
+        seeds=tuple(parse_address(item) for item in vm_file.seeds),
         internal_ports=(vm_file.internal_ports[0], vm_file.internal_ports[1]),
-        found=vm_file.found,
-        public=_parse_optional_address(vm_file.public),
-        ready=_parse_optional_address(vm_file.ready),
-        operators=_parse_optional_address(vm_file.operators),
+        is_first_start=vm_file.found,
+        public_address=_parse_optional_address(vm_file.public),
+        readiness_address=_parse_optional_address(vm_file.ready),
+        operator_address=_parse_optional_address(vm_file.operators),
         data_folder=vm_file.data_folder,
         shutdown_seconds=vm_file.shutdown_seconds,
         announce_every_ms=vm_file.announce_every_ms,
--- a/siskinspoke/conf/watch.py
+++ b/siskinspoke/conf/watch.py
@@ -7,7 +7,7 @@
 from siskinspoke.core.decisions import DecisionLog
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Hold the current settings; only the seeds can change while the process runs."""
 
     def __init__(
@@ -21,7 +21,7 @@
         self._log = log
         self.settings = read_settings()
 
-    def look(self) -> None:
+    def reload(self) -> None:
         """Read the file again and report changed seeds.
 
         A file that is invalid or only partly written is ignored: the current settings remain.
--- a/siskinspoke/control/app.py
+++ b/siskinspoke/control/app.py
@@ -17,7 +17,7 @@
     ConfigureRequest,
 )
 from siskinspoke.coordination.orders import ACTIONS, OrderBody, OrderRequest
-from siskinspoke.core.codes import FACTS, Failure, ResultCode
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 from siskinspoke.core.counters import Counters
 from siskinspoke.entry.internal_app import operator_allowed
 from siskinspoke.protocol.claims import ClaimRequest, LookupRequest, SettleRequest
@@ -84,7 +84,7 @@
     def not_leader() -> Response:
         document = Failure(ResultCode.NOT_LEADER, "this replica is not the leader").to_document()
         document["leader"] = task.replica.leader
-        return json_response(document, FACTS[ResultCode.NOT_LEADER].status)
+        return json_response(document, CODE_INFO[ResultCode.NOT_LEADER].status)
 
     @app.post("/v1/claim")
     async def claim() -> Response:
--- a/siskinspoke/control/daemon.py
+++ b/siskinspoke/control/daemon.py
@@ -15,7 +15,7 @@
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica_types import Times
 from siskinspoke.core.codes import FailureError
-from siskinspoke.core.counters import counters_for
+from siskinspoke.core.counters import create_counters
 from siskinspoke.state.replica_store import open_store
 from siskinspoke.transport.http import HttpServer, serve
 from siskinspoke.transport.links import LinkListener, LinkSender
@@ -30,7 +30,7 @@
 async def run_control(settings: Settings, name: str) -> None:
     """Run the control replica called ``name`` until SIGTERM or SIGINT."""
     vm = settings.control_vm(name)
-    counters = counters_for(name, settings.statsd_host, settings.statsd_port)
+    counters = create_counters(name, settings.statsd_host, settings.statsd_port)
     opened = open_store(vm.data_folder, name)
     if opened.is_error():
         raise FailureError(opened.error)
--- a/siskinspoke/control/feed_hub.py
+++ b/siskinspoke/control/feed_hub.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from siskinspoke.coordination.cells import MOST_VMS
+from siskinspoke.coordination.cells import MAX_CELL_VMS
 from siskinspoke.coordination.crash_watch import CrashWatch
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.known_entries import KnownEntries
@@ -187,7 +187,7 @@
         self._sessions.add(session)
         follow = session.follow
         if follow.peer_port:
-            self._entries.joined(_entry_peer(follow))
+            self._entries.connected(_entry_peer(follow))
         else:
             self._control_domains[follow.host] = follow.failure_domain
         self._follower_joined.set()
@@ -196,13 +196,13 @@
         configuration = self._current_configuration()
         if configuration.document is not None:
             self._schedule_publication(session, configuration)
-        records = self._directory.all_known()
-        restored = [record.announcement for record in records if record.recalled]
+        records = self._directory.all_records()
+        restored = [record.announcement for record in records if record.is_restored]
         if restored:
             self._send(session, Remembered(restored))
-        registered = [record.announcement for record in records if not record.recalled]
+        registered = [record.announcement for record in records if not record.is_restored]
         self._send(session, News(self._last_number, registered))
-        for news in self._crashes.all_news(_now_ms()):
+        for news in self._crashes.all_reports(_now_ms()):
             self._send(session, news)
 
     def _end_session(self, session: Session | None) -> None:
@@ -210,7 +210,7 @@
             return
         self._sessions.discard(session)
         if session.follow.peer_port:
-            self._entries.left(_entry_peer(session.follow), trio.current_time())
+            self._entries.disconnected(_entry_peer(session.follow), trio.current_time())
         self._log.note("follower.lost", follower=session.follow.name, host=session.follow.host)
         self._notify_waiters()
 
@@ -235,7 +235,7 @@
             self._send_frame(session, frame)
 
     def _current_roster(self) -> Roster:
-        entries = self._entries.named(trio.current_time())
+        entries = self._entries.announced(trio.current_time())
         # A control VM that follows this one may not be a member of the group yet.
         newcomers = {item.follow.host for item in self._sessions if not item.follow.peer_port}
         return Roster(sorted(newcomers.union(self._controls())), sorted(entries))
@@ -336,7 +336,7 @@
 
     def handle_crash_news(self, news: CrashNews, sender: Session | None = None) -> None:
         """Apply a VM's crash reports and forward those that are new to all other followers."""
-        new = self._crashes.hear(news, _now_ms())
+        new = self._crashes.apply(news, _now_ms())
         if not any(new):
             return
         frame = encode_frame(self._key, new)
@@ -370,9 +370,9 @@
             roster_due = trio.current_time() - roster_sent_at > ROSTER_INTERVAL_SECONDS
             if self._broadcast_roster(roster_due):
                 roster_sent_at = trio.current_time()
-            self._entries.forget(trio.current_time())
+            self._entries.prune(trio.current_time())
             self._send_renewals()
-            self._crashes.forget(_now_ms())
+            self._crashes.prune(_now_ms())
             self._counters.gauge("feed.followers", len(self._sessions))
 
     async def _send_roster_changes(self) -> None:
@@ -410,9 +410,9 @@
     def _large_services(self) -> set[str]:
         """Return the services whose renewals are sent only within the failure domain."""
         entries = sum(bool(session.follow.peer_port) for session in self._sessions)
-        if entries <= MOST_VMS:
+        if entries <= MAX_CELL_VMS:
             return set()
-        sizes = Counter(item.announcement.service for item in self._directory.all_known())
+        sizes = Counter(item.announcement.service for item in self._directory.all_records())
         return {service for service, size in sizes.items() if size > SMALL_SERVICE_SERVERS}
 
 
--- a/siskinspoke/control/group_daemon.py
+++ b/siskinspoke/control/group_daemon.py
@@ -10,7 +10,7 @@
 import trio
 
 from siskinspoke.conf.vm import VmSettings
-from siskinspoke.conf.watch import SettingsWatch
+from siskinspoke.conf.watch import SettingsWatcher
 from siskinspoke.control.feed_hub import FeedHub
 from siskinspoke.control.registry import Registry
 from siskinspoke.control.replica_report import ReplicaReport
@@ -78,7 +78,7 @@
     """Create and run the components of a control VM; each owns its sockets and state."""
 
     def __init__(self, read_settings: Callable[[], VmSettings], log: DecisionLog):
-        self._watch = SettingsWatch(read_settings, self._update_seeds, log)
+        self._watch = SettingsWatcher(read_settings, self._update_seeds, log)
         self._log = log
         self._counters = Counters()
         self._latencies = Latencies()
@@ -146,7 +146,9 @@
             ):
                 nursery.start_soon(keep_running, self._log, self._counters, task, *args)
             nursery.start_soon(self._serve_calls, load_app, parts, metrics_port)
-            self._log.note("start", role="control", found=settings.found, host=settings.host)
+            self._log.note(
+                "start", role="control", found=settings.is_first_start, host=settings.host
+            )
             await self._wait_for_stop_signal()
             self._log.note("stop", role="control")
             if self._task is not None:
@@ -166,7 +168,7 @@
         from siskinspoke.transport.pages import metrics_pages, serve_pages
 
         make_app, limits = load_app()
-        host, address = self._watch.settings.host, self._watch.settings.operators
+        host, address = self._watch.settings.host, self._watch.settings.operator_address
         async with trio.open_nursery() as nursery:
             if metrics_port:
                 pages = metrics_pages(self._counters, parts.latencies)
@@ -182,7 +184,7 @@
             async for number in signals:
                 if number != signal.SIGHUP:
                     return
-                self._watch.look()
+                self._watch.reload()
 
     def _open_link(self, host: str) -> LinkSender:
         settings = self._watch.settings
@@ -198,7 +200,7 @@
         """Reload changed settings and close the links to control VMs that have been removed."""
         while True:
             await trio.sleep(MAINTENANCE_SECONDS)
-            self._watch.look()
+            self._watch.reload()
             links.close_all_except({*self._control_hosts(), *self._feeds.controls})
 
     def _update_seeds(self, seeds: tuple[str, ...]) -> None:
@@ -222,7 +224,7 @@
         if read.is_error():
             self._log.note("entries.not_recalled", reason=read.error.message)
             return
-        self._hub.entries.recall(read.ok, trio.current_time())
+        self._hub.entries.restore(read.ok, trio.current_time())
         self._log.note("entries.recalled", entries=len(read.ok))
 
     async def _notify_entries(self) -> None:
@@ -235,22 +237,22 @@
             settings.host, settings.peer_port, settings.internal_key, self._counters
         )
         for _ in range(START_NOTIFICATIONS):
-            for entry in self._hub.entries.kept(trio.current_time()):
-                if not self._hub.entries.follows(entry):
+            for entry in self._hub.entries.stored(trio.current_time()):
+                if not self._hub.entries.is_connected(entry):
                     await port.send(ControlUp(settings.host), entry.host, entry.port)
             await trio.sleep(NOTIFICATION_INTERVAL_SECONDS)
         await trio.sleep_forever()
 
     async def _save_lists(self) -> None:
         """Save the known servers and entry VMs whenever they change."""
-        servers, entries = self._directory.changes, self._hub.entries.kept(trio.current_time())
+        servers, entries = self._directory.changes, self._hub.entries.stored(trio.current_time())
         while True:
             await trio.sleep(SAVE_LISTS_SECONDS)
             if servers != self._directory.changes:
                 servers = self._directory.changes
-                known = [record.announcement for record in self._directory.all_known()]
+                known = [record.announcement for record in self._directory.all_records()]
                 await self._save(save_servers, known)
-            if entries != (current := self._hub.entries.kept(trio.current_time())):
+            if entries != (current := self._hub.entries.stored(trio.current_time())):
                 entries = current
                 await self._save(save_entries, sorted(current))
 
@@ -287,7 +289,7 @@
         if opened.is_error():
             raise FailureError(opened.error)
         store, restored = opened.ok
-        founder = settings.found and settings.host in settings.seed_hosts
+        founder = settings.is_first_start and settings.host in settings.seed_hosts
         replica = Replica(
             settings.host,
             list(settings.seed_hosts) if founder else [],
--- a/siskinspoke/control/registry.py
+++ b/siskinspoke/control/registry.py
@@ -11,7 +11,7 @@
 
 from siskinspoke.control.feed_hub import FeedHub, Held
 from siskinspoke.control.replica_task import ReplicaTask, now_ms
-from siskinspoke.coordination.directory import Directory, Heard
+from siskinspoke.coordination.directory import AnnouncementEffect, Directory
 from siskinspoke.coordination.machine import PUBLISH, PublishRequest
 from siskinspoke.coordination.vetting import announcement_fault
 from siskinspoke.core.codes import Failure, ResultCode
@@ -83,18 +83,20 @@
 
     async def announce(self, announcement: Announcement) -> bool:
         """Process an announcement; return whether it may be confirmed to its sender."""
-        effect = self._directory.hear(announcement, now_ms())
+        effect = self._directory.apply(announcement, now_ms())
         self._counters.count(f"announcement.{effect.value}")
         if announcement.leaving:
             return await self._broadcast_leave(announcement, effect)
-        if effect is Heard.JOINED:
+        if effect is AnnouncementEffect.JOINED:
             self._note(announcement, effect)
             self._hub.tell_soon([announcement])
-        elif effect is Heard.RENEWED:
+        elif effect is AnnouncementEffect.RENEWED:
             self._hub.renew(announcement)
         return True
 
-    async def _broadcast_leave(self, announcement: Announcement, effect: Heard) -> bool:
+    async def _broadcast_leave(
+        self, announcement: Announcement, effect: AnnouncementEffect
+    ) -> bool:
         """Send a leave, also a repeated one, to all followers and wait for their receipts.
 
         The server stops within a bounded time after the confirmation. If this VM crashed in
@@ -110,11 +112,11 @@
         """Process announcements received from another control VM and forward the new ones."""
         new, has_left = [], False
         for announcement in announcements:
-            effect = self._directory.hear(announcement, now_ms())
-            if effect in (Heard.JOINED, Heard.LEFT):
+            effect = self._directory.apply(announcement, now_ms())
+            if effect in (AnnouncementEffect.JOINED, AnnouncementEffect.LEFT):
                 self._note(announcement, effect)
                 new.append(announcement)
-                has_left = has_left or effect is Heard.LEFT
+                has_left = has_left or effect is AnnouncementEffect.LEFT
         if has_left:
             self._hub.tell(new)
         elif new:
@@ -123,7 +125,7 @@
     def restore_servers(self, announcements: list[Announcement]) -> None:
         """Restore servers that a VM knew before its restart and forward the new ones."""
         now = now_ms()
-        new = [item for item in announcements if self._directory.remember(item, now)]
+        new = [item for item in announcements if self._directory.restore(item, now)]
         self._log.note("servers.remembered", told=len(announcements), new=len(new))
         if new:
             self._hub.recall(new)
@@ -133,7 +135,7 @@
         for server, incarnation, seq in items:
             self._directory.renew(server, incarnation, seq, now_ms())
 
-    def _note(self, announcement: Announcement, effect: Heard, **more) -> None:
+    def _note(self, announcement: Announcement, effect: AnnouncementEffect, **more) -> None:
         self._log.note(
             f"server.{effect.value}",
             server=announcement.server,
--- a/siskinspoke/control/replica_task.py
+++ b/siskinspoke/control/replica_task.py
@@ -267,7 +267,7 @@
         for read in self._pending_reads:
             if not self.replica.can_serve_reads():
                 read.pending.resolve(None, leader=self.is_leader)
-            elif self.replica.confirmed_since(read.since, read.confirmed_by):
+            elif self.replica.confirmed_since(read.asked_at, read.confirmed_by):
                 read.pending.resolve(self.replica.commit)
             elif not read.pending.done.is_set():
                 unanswered.append(read)
--- a/siskinspoke/coordination/back_off.py
+++ b/siskinspoke/coordination/back_off.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._back_offs: dict[Start, _BackOff] = {}
 
-    def ask(self, start: Start, wait_ms: float, now: float) -> None:
+    def add(self, start: Start, wait_ms: float, now: float) -> None:
         """Record that a server requested a back-off; a longer one already in force is kept."""
         until = max(self.until(start), now + min(wait_ms, MAX_BACK_OFF_MS))
         self._back_offs[start] = _BackOff(until, now)
@@ -35,13 +35,13 @@
         back_off = self._back_offs.get(start)
         return -math.inf if back_off is None else back_off.until
 
-    def started(self, previous: Start, start: Start, now: float) -> None:
+    def carry_over(self, previous: Start, start: Start, now: float) -> None:
         """Record a restart; a recent back-off may have come from the new process, so copy it."""
         back_off = self._back_offs.get(previous)
         if back_off is not None and now - back_off.asked_at < RESTART_OVERLAP_MS:
             self._back_offs[start] = back_off
 
-    def forget(self, servers: Iterable[str], now: float) -> None:
+    def prune(self, servers: Iterable[str], now: float) -> None:
         """Drop expired back-offs and those of servers not in ``servers``."""
         kept = set(servers)
         for start, back_off in list(self._back_offs.items()):
--- a/siskinspoke/coordination/books.py
+++ b/siskinspoke/coordination/books.py
@@ -59,7 +59,7 @@
     began_at: float
     held: tuple[int, ...] = ()
     stage: Stage = Stage.PREFILL
-    alone: bool = False
+    exclusive: bool = False
 
     @property
     def engine_count(self) -> int:
@@ -79,11 +79,11 @@
 class EngineWork:
     """The work at one engine, and the factor by which it is slower than its configured costs."""
 
-    works: dict[str, Work] = field(default_factory=dict)
-    pace: float = 1.0
+    in_flight: dict[str, Work] = field(default_factory=dict)
+    slowdown: float = 1.0
 
 
-class Books:
+class WorkTable:
     """All in-flight work of the fleet that is known to this VM."""
 
     def __init__(self) -> None:
@@ -98,16 +98,16 @@
             found = self._engines[server] = EngineWork()
         return found
 
-    def begin(self, name: str, work: Work) -> None:
+    def add(self, name: str, work: Work) -> None:
         """Add a request, replacing any of the same name."""
-        self.end(name)
+        self.remove(name)
         self._works[name] = work
         for server in work.servers:
-            self.engine(server).works[name] = work
-        if work.alone:
+            self.engine(server).in_flight[name] = work
+        if work.exclusive:
             self._exclusive.update(work.servers)
 
-    def wrote(self, name: str) -> None:
+    def mark_first_token(self, name: str) -> None:
         """Record the first token of a request: its prefill is complete.
 
         Servers that keep none of the prompt are done with the request.
@@ -118,49 +118,49 @@
         work.stage = Stage.DECODE
         for server in work.servers[1:]:
             if not work.tokens_at(server):
-                self.engine(server).works.pop(name, None)
+                self.engine(server).in_flight.pop(name, None)
 
-    def end(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a request."""
         work = self._works.pop(name, None)
         if work is None:
             return
         for server in work.servers:
-            self.engine(server).works.pop(name, None)
-        if work.alone:
+            self.engine(server).in_flight.pop(name, None)
+        if work.exclusive:
             self._exclusive -= Counter(work.servers)
 
-    def is_alone(self, server: str) -> bool:
+    def is_exclusive(self, server: str) -> bool:
         """Return whether an engine holds work that no other request should join."""
         return server in self._exclusive
 
     def is_idle(self, server: str) -> bool:
         """Return whether an engine holds no work."""
         known = self._engines.get(server)
-        return known is None or not known.works
+        return known is None or not known.in_flight
 
-    def started(self, server: str) -> None:
+    def clear_engine(self, server: str) -> None:
         """Clear the work of an engine that has restarted, which lost all of it."""
         self._engines[server] = EngineWork()
 
-    def end_all(self, prefix: str) -> int:
+    def remove_with_prefix(self, prefix: str) -> int:
         """Remove all requests whose names start with ``prefix``; return their number."""
         names = [name for name in self._works if name.startswith(prefix)]
         for name in names:
-            self.end(name)
+            self.remove(name)
         return len(names)
 
-    def forget(self, now: float, servers: Iterable[str]) -> None:
+    def expire(self, now: float, servers: Iterable[str]) -> None:
         """Remove expired work, and the entries of idle engines not among ``servers``."""
         for name, work in list(self._works.items()):
             if now - work.began_at > WORK_EXPIRY_MS:
-                self.end(name)
+                self.remove(name)
         known = set(servers)
         for server in list(self._engines):
-            if server not in known and not self._engines[server].works:
+            if server not in known and not self._engines[server].in_flight:
                 del self._engines[server]
 
     @property
-    def open_works(self) -> int:
+    def work_count(self) -> int:
         """Return the number of in-flight requests."""
         return len(self._works)
--- a/siskinspoke/coordination/cells.py
+++ b/siskinspoke/coordination/cells.py
@@ -13,7 +13,7 @@
 
 # The VMs of a cell notify each other of each request: a cell of this size is as large as a small
 # site.
-MOST_VMS = 24
+MAX_CELL_VMS = 24
 # A cell has at least this many engines of a service if its domain has them.  With fewer, a long
 # prompt that several engines prefill leaves no room for other requests, so cells share engines.
 MIN_CELL_ENGINES = 12
@@ -49,7 +49,7 @@
 def _cell_count(vms: int) -> int:
     """Return the number of cells for the VMs of a domain: a power of two, so it changes rarely."""
     parts = 1
-    while vms > parts * MOST_VMS:
+    while vms > parts * MAX_CELL_VMS:
         parts *= 2
     return parts
 
@@ -70,7 +70,7 @@
         self._cell_of: dict[str, Cell] = {}
         self._servers: dict[tuple[Cell, str], set[str]] = {}
         self._tracking_cells: dict[str, tuple[Cell, ...]] = {}
-        single_cell = len(vms) <= MOST_VMS
+        single_cell = len(vms) <= MAX_CELL_VMS
         by_domain: dict[str, list[str]] = {}
         for host, domain in vms.items():
             by_domain.setdefault(WHOLE_FLEET if single_cell else domain, []).append(host)
@@ -104,7 +104,7 @@
         """Return all cells."""
         return list(self._hosts)
 
-    def of(self, host: str) -> Cell | None:
+    def cell_of(self, host: str) -> Cell | None:
         """Return the cell of an entry VM, or None if it is unknown."""
         return self._cell_of.get(host)
 
@@ -116,7 +116,7 @@
         """Return the servers of a service whose work the VMs of a cell track."""
         return self._servers.get((cell, service), set())
 
-    def watching(self, servers: Iterable[str]) -> set[Cell]:
+    def cells_tracking(self, servers: Iterable[str]) -> set[Cell]:
         """Return the cells that track the work of any of these servers."""
         return {cell for server in servers for cell in self._tracking_cells.get(server, ())}
 
--- a/siskinspoke/coordination/crash_watch.py
+++ b/siskinspoke/coordination/crash_watch.py
@@ -23,7 +23,7 @@
     Suspect,
     Verdict,
 )
-from siskinspoke.coordination.fingerprints import Subject
+from siskinspoke.coordination.fingerprints import RequestIdentity
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol.crashes import (
     CrashNews,
@@ -63,10 +63,10 @@
 
 
 @dataclass(eq=False, slots=True)
-class Run:
+class OpenRun:
     """One attempt, sent to one or several servers."""
 
-    subject: Subject
+    subject: RequestIdentity
     starts: frozenset[Start]
     began_at: float
 
@@ -83,12 +83,12 @@
 class CrashWatch:
     """Holds a VM's crash ledger and its open runs."""
 
-    def __init__(self, tell: Callable[[CrashNews], None], counters: Counters, log: Log) -> None:
-        self._publish = tell
+    def __init__(self, publish: Callable[[CrashNews], None], counters: Counters, log: Log) -> None:
+        self._publish = publish
         self._counters = counters
         self._log = log
         self._ledger = CrashLedger()
-        self._open: set[Run] = set()
+        self._open_runs: set[OpenRun] = set()
         self._abandoned: deque[AbandonedRun] = deque(maxlen=MAX_ABANDONED_RUNS)
         self._local_suspects: dict[Start, set[str]] = {}
         self._quarantined: set[str] = set()
@@ -99,15 +99,15 @@
         """Return the crash ledger."""
         return self._ledger
 
-    def began(self, subject: Subject, starts: Iterable[Start], now: float) -> Run:
+    def start_run(self, subject: RequestIdentity, starts: Iterable[Start], now: float) -> OpenRun:
         """Register an attempt; the caller must pass it to ``ended`` later."""
-        run = Run(subject, frozenset(starts), now)
-        self._open.add(run)
+        run = OpenRun(subject, frozenset(starts), now)
+        self._open_runs.add(run)
         return run
 
-    def ended(self, run: Run, end: RunEnd, now: float) -> None:
+    def end_run(self, run: OpenRun, end: RunEnd, now: float) -> None:
         """Record how an attempt ended."""
-        self._open.discard(run)
+        self._open_runs.discard(run)
         match end:
             case RunEnd.WHOLE:
                 self._clear(run.subject, now)
@@ -115,12 +115,12 @@
                 fingerprint = run.subject.fingerprint
                 self._abandoned.append(AbandonedRun(fingerprint, run.starts, run.began_at, now))
 
-    def _clear(self, subject: Subject, now: float) -> None:
+    def _clear(self, subject: RequestIdentity, now: float) -> None:
         if not self.is_suspect(subject):
             return
         fingerprint = subject.fingerprint
         self._answered_at[fingerprint] = now
-        if not self._ledger.clear(fingerprint, now):
+        if not self._ledger.record_answer(fingerprint, now):
             return
         self._counters.count("crash.cleared")
         lifted = fingerprint in self._quarantined
@@ -128,13 +128,13 @@
         self._log.note("request.cleared", fingerprint=fingerprint, lifted=lifted)
         self._publish(crash_news(served=[SuspectEvent(fingerprint, 0)]))
 
-    def is_suspect(self, subject: Subject) -> bool:
+    def is_suspect(self, subject: RequestIdentity) -> bool:
         """Return whether a server crashed with this request open; hash the body only if needed."""
         if self._ledger.is_empty or not self._ledger.has_shape(subject.shape):
             return False
-        return self._ledger.knows(subject.fingerprint)
+        return self._ledger.has_suspect(subject.fingerprint)
 
-    def judge(self, subject: Subject, now: float) -> Verdict:
+    def judge(self, subject: RequestIdentity, now: float) -> Verdict:
         """Return the verdict on a request."""
         if not self.is_suspect(subject):
             return Clear()
@@ -145,7 +145,7 @@
     def _log_verdict(self, fingerprint: str, verdict: Verdict) -> None:
         """Log the start and end of a quarantine on this VM, with the crashes that led to it."""
         match verdict:
-            case Quarantined(left_ms=left_ms, crashes=crashes):
+            case Quarantined(remaining_ms=left_ms, crashes=crashes):
                 if fingerprint in self._quarantined:
                     return
                 self._quarantined.add(fingerprint)
@@ -155,7 +155,7 @@
                     fingerprint=fingerprint,
                     crashes=crashes,
                     left=round(left_ms),
-                    servers=self._ledger.servers_of(fingerprint),
+                    servers=self._ledger.crashed_servers(fingerprint),
                 )
             case Probation():
                 pass
@@ -164,10 +164,10 @@
                 self._counters.count("quarantine.lifted")
                 self._log.note("request.released", fingerprint=fingerprint)
 
-    def probe(self, subject: Subject, now: float) -> None:
+    def record_probe(self, subject: RequestIdentity, now: float) -> None:
         """Record that one attempt of a request is let through after its quarantine."""
         fingerprint = subject.fingerprint
-        if self._ledger.probe(fingerprint, now):
+        if self._ledger.record_probe(fingerprint, now):
             self._counters.count("quarantine.probed")
             self._log.note("request.probed", fingerprint=fingerprint)
             self._publish(crash_news(probed=[SuspectEvent(fingerprint, 0)]))
@@ -176,33 +176,33 @@
         """Return whether an incarnation of a server is known to have crashed."""
         return self._ledger.find(start) is not None
 
-    def crashed(self, start: Start, service: str, servers: int, at: float, now: float) -> None:
+    def record_crash(self, start: Start, service: str, servers: int, at: float, now: float) -> None:
         """Record a server crash; ``servers`` is the number of servers of its service."""
         known = self._ledger.find(start)
         suspects = self._suspects_at(start, at if known is None else known.at)
-        new_suspects = self._ledger.add(start, service, servers, at, suspects)
+        new_suspects = self._ledger.record_crash(start, service, servers, at, suspects)
         if new_suspects is None:
             return
         if known is None:
             self._log_crash(start, service, servers, suspects, told=False)
         self._publish_local_suspects(start, new_suspects, now)
 
-    def started_anew(self, start: Start, service: str, servers: int, now: float) -> None:
+    def record_restart(self, start: Start, service: str, servers: int, now: float) -> None:
         """Record a restart that reveals an earlier, undetected crash.
 
         Attempts at the old incarnation were cut off when it crashed; those still open will not be
         answered.
         """
         ended_at = [run.ended_at for run in self._abandoned if start in run.starts]
-        has_open_run = any(start in run.starts for run in self._open)
+        has_open_run = any(start in run.starts for run in self._open_runs)
         at = now if has_open_run or not ended_at else max(ended_at)
-        self.crashed(start, service, servers, at, now)
+        self.record_crash(start, service, servers, at, now)
 
     def _suspects_at(self, start: Start, at: float) -> list[Suspect]:
         """Return this VM's runs that were open, or just abandoned, when a server crashed."""
         suspects = [
             Suspect(run.subject.fingerprint, run.began_at)
-            for run in self._open
+            for run in self._open_runs
             if start in run.starts and run.began_at <= at
         ]
         suspects += [
@@ -235,7 +235,7 @@
         report = _crash_report(self._ledger.find(start), suspects, now)
         self._publish(crash_news([report]))
 
-    def answered(self, start: Start, sent_at: float, now: float) -> None:
+    def record_answer(self, start: Start, sent_at: float, now: float) -> None:
         """Handle an answer to a request sent at ``sent_at``; it refutes an earlier crash."""
         crash = self._ledger.find(start)
         if crash is None or sent_at <= crash.at or not self._ledger.refute(start, now):
@@ -245,7 +245,7 @@
         self._log.note("server.not_crashed", server=server, start=incarnation)
         self._publish(crash_news(refuted=[RefutedCrash(server, incarnation)]))
 
-    def hear(self, news: CrashNews, now: float) -> CrashNews:
+    def apply(self, news: CrashNews, now: float) -> CrashNews:
         """Apply another VM's news and return the part that was new to this VM."""
         return crash_news(
             crashes=[report for report in news.crashes if self._handle_crash(report, now)],
@@ -259,7 +259,9 @@
         start = (report.server, report.incarnation)
         suspects = [Suspect(item.fingerprint, at - item.ran_ms) for item in report.suspects]
         is_known = self._ledger.find(start) is not None
-        new_suspects = self._ledger.add(start, report.service, report.servers, at, suspects)
+        new_suspects = self._ledger.record_crash(
+            start, report.service, report.servers, at, suspects
+        )
         if new_suspects is None:
             return False
         if is_known:
@@ -268,7 +270,7 @@
         else:
             self._log_crash(start, report.service, report.servers, new_suspects, told=True)
         local_suspects = self._suspects_at(start, self._ledger.find(start).at)
-        new_local_suspects = self._ledger.add(
+        new_local_suspects = self._ledger.record_crash(
             start, report.service, report.servers, at, local_suspects
         )
         self._publish_local_suspects(start, new_local_suspects or [], now)
@@ -286,24 +288,24 @@
             self._publish(crash_news(served=cleared))
 
     def _handle_served(self, item: SuspectEvent, now: float) -> bool:
-        return self._ledger.clear(item.fingerprint, now - item.age_ms)
+        return self._ledger.record_answer(item.fingerprint, now - item.age_ms)
 
     def _handle_probed(self, item: SuspectEvent, now: float) -> bool:
-        return self._ledger.probe(item.fingerprint, now - item.age_ms)
+        return self._ledger.record_probe(item.fingerprint, now - item.age_ms)
 
     def _handle_refuted(self, item: RefutedCrash, now: float) -> bool:
         return self._ledger.refute((item.server, item.incarnation), now)
 
-    def all_news(self, now: float) -> list[CrashNews]:
+    def all_reports(self, now: float) -> list[CrashNews]:
         """Return everything a VM without any state needs to know about the current suspects."""
         ledger = self._ledger
-        crashes = [crash for crash in ledger.crashes if crash.suspects.keys() - ledger.served]
+        crashes = [crash for crash in ledger.crashes if crash.suspects.keys() - ledger.answered_at]
         crashes = sorted(crashes, key=lambda crash: crash.at)[-MAX_REPLAYED_CRASHES:]
         return self._messages_for(
             [(crash, list(crash.suspects.values())) for crash in crashes], now
         )
 
-    def own_news(self, now: float) -> list[CrashNews]:
+    def own_reports(self, now: float) -> list[CrashNews]:
         """Return what this VM observed itself, for a VM that may have lost its state."""
         entries = []
         for start, fingerprints in self._local_suspects.items():
@@ -321,21 +323,21 @@
             batch = entries[index : index + CRASHES_PER_MESSAGE]
             reports = [_crash_report(crash, suspects, now) for crash, suspects in batch]
             fingerprints = {item.fingerprint for report in reports for item in report.suspects}
-            served = _suspect_events(self._ledger.served, fingerprints, now)
-            probed = _suspect_events(self._ledger.probed, fingerprints, now)
+            served = _suspect_events(self._ledger.answered_at, fingerprints, now)
+            probed = _suspect_events(self._ledger.probed_at, fingerprints, now)
             messages.append(crash_news(reports, served, probed))
         return messages
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop expired entries."""
         while self._abandoned and now - self._abandoned[0].ended_at > ABANDONED_RETENTION_MS:
             self._abandoned.popleft()
-        self._ledger.forget(now)
+        self._ledger.prune(now)
         for start in [start for start in self._local_suspects if self._ledger.find(start) is None]:
             del self._local_suspects[start]
-        for item in [item for item in self._answered_at if not self._ledger.knows(item)]:
+        for item in [item for item in self._answered_at if not self._ledger.has_suspect(item)]:
             del self._answered_at[item]
-        self._quarantined = {item for item in self._quarantined if self._ledger.knows(item)}
+        self._quarantined = {item for item in self._quarantined if self._ledger.has_suspect(item)}
         self._counters.gauge("crash.remembered", len(self._ledger.crashes))
 
 
--- a/siskinspoke/coordination/crashes.py
+++ b/siskinspoke/coordination/crashes.py
@@ -59,7 +59,7 @@
 # Crashes are kept for one hour, and at most MOST_CRASHES of them. A request whose crashes have all
 # been dropped starts with no evidence against it.
 CRASH_RETENTION_MS = 3_600_000.0
-MOST_CRASHES = 1_024
+MAX_CRASHES = 1_024
 # Complete answers to suspects whose crash is not known yet.
 MAX_EARLY_ANSWERS = 256
 # An engine holds its slots plus a short queue. With more suspects than this the cause cannot be
@@ -117,14 +117,14 @@
 class Quarantined:
     """The request is not sent to any server for now."""
 
-    left_ms: float
+    remaining_ms: float
     crashes: int
 
     @property
     def refusal(self) -> Failure:
         """Return the failure for a quarantined request: not run, with the time to retry."""
         message = f"{self.crashes} servers crashed under this request, so it is not sent"
-        return Failure(ResultCode.QUARANTINED, message, int(self.left_ms))
+        return Failure(ResultCode.QUARANTINED, message, int(self.remaining_ms))
 
 
 @dataclass(frozen=True)
@@ -162,7 +162,7 @@
         self._probed_at: dict[str, float] = {}
         self._refuted_at: dict[Start, float] = {}
         self._by_service: dict[str, list[Crash]] = {}
-        self._cases: dict[str, _Evidence] = {}
+        self._evidence: dict[str, _Evidence] = {}
 
     @property
     def is_empty(self) -> bool:
@@ -175,12 +175,12 @@
         return list(self._crashes.values())
 
     @property
-    def served(self) -> dict[str, float]:
+    def answered_at(self) -> dict[str, float]:
         """Return when suspects were last answered completely, by fingerprint."""
         return self._answered_at
 
     @property
-    def probed(self) -> dict[str, float]:
+    def probed_at(self) -> dict[str, float]:
         """Return when suspects were last let through after a quarantine, by fingerprint."""
         return self._probed_at
 
@@ -188,7 +188,7 @@
         """Return the crash of one incarnation of a server."""
         return self._crashes.get(start)
 
-    def servers_of(self, fingerprint: str) -> list[str]:
+    def crashed_servers(self, fingerprint: str) -> list[str]:
         """Return the servers that crashed with a request open since its last complete answer."""
         served_at = self._answered_at.get(fingerprint, -math.inf)
         return [
@@ -201,11 +201,11 @@
         """Return whether a suspect has this shape; otherwise the body need not be hashed."""
         return shape in self._shape_counts
 
-    def knows(self, fingerprint: str) -> bool:
+    def has_suspect(self, fingerprint: str) -> bool:
         """Return whether a server crashed with this request open."""
         return fingerprint in self._by_fingerprint
 
-    def add(
+    def record_crash(
         self, start: Start, service: str, servers: int, at: float, suspects: Iterable[Suspect]
     ) -> list[Suspect] | None:
         """Record a crash, or further requests that were open at a known one.
@@ -220,7 +220,7 @@
             crash = self._crashes[start] = Crash(start, service, servers, at)
             bisect.insort(self._by_service.setdefault(service, []), crash, key=_crash_time)
             self._drop_oldest()
-        self._cases.clear()
+        self._evidence.clear()
         new_suspects = [item for item in suspects if self._add_suspect(crash, item)]
         return new_suspects if new_suspects or is_news else None
 
@@ -242,11 +242,11 @@
         return True
 
     def _drop_oldest(self) -> None:
-        while len(self._crashes) > MOST_CRASHES:
+        while len(self._crashes) > MAX_CRASHES:
             self._drop(min(self._crashes.values(), key=lambda item: item.at))
 
     def _drop(self, crash: Crash) -> None:
-        self._cases.clear()
+        self._evidence.clear()
         del self._crashes[crash.start]
         service_crashes = self._by_service[crash.service]
         service_crashes.remove(crash)
@@ -266,7 +266,7 @@
         if not self._shape_counts[shape]:
             del self._shape_counts[shape]
 
-    def clear(self, fingerprint: str, at: float) -> bool:
+    def record_answer(self, fingerprint: str, at: float) -> bool:
         """Record a complete answer to a suspect; return whether to forward it to other VMs.
 
         That is the case only for the first answer and for one that clears a crash. Forwarding every
@@ -279,7 +279,7 @@
         if at <= before:
             return False
         self._answered_at[fingerprint] = at
-        self._cases.clear()
+        self._evidence.clear()
         return any(before < crash.at <= at for crash in crashes) or before == -math.inf
 
     def _record_early_answer(self, fingerprint: str, at: float) -> bool:
@@ -290,7 +290,7 @@
             del self._early_answers[next(iter(self._early_answers))]
         return is_news
 
-    def probe(self, fingerprint: str, at: float) -> bool:
+    def record_probe(self, fingerprint: str, at: float) -> bool:
         """Record that a suspect is let through after its quarantine; return whether that is new."""
         if fingerprint not in self._by_fingerprint:
             return False
@@ -313,9 +313,9 @@
 
     def judge(self, fingerprint: str, now: float) -> Verdict:
         """Return the verdict on a request."""
-        evidence = self._cases.get(fingerprint)
+        evidence = self._evidence.get(fingerprint)
         if evidence is None:
-            evidence = self._cases[fingerprint] = self._compute_evidence(fingerprint)
+            evidence = self._evidence[fingerprint] = self._compute_evidence(fingerprint)
         if not evidence.crashes:
             return Clear()
         if evidence.decided_at == math.inf:
@@ -431,7 +431,7 @@
             for item in crash.suspects
         )
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop expired crashes and refutations."""
         for crash in list(self._crashes.values()):
             if now - crash.at > CRASH_RETENTION_MS:
--- a/siskinspoke/coordination/deadlines.py
+++ b/siskinspoke/coordination/deadlines.py
@@ -1,8 +1,8 @@
 """How long before its deadline a request gets its final reply."""
 
-LEAST_MARGIN_SECONDS = 0.03
+MIN_MARGIN_SECONDS = 0.03
 MARGIN_SHARE = 0.02
-MOST_MARGIN_SECONDS = 0.5
+MAX_MARGIN_SECONDS = 0.5
 # Late timers may add at most this share of a request's timeout to the margin.
 MAX_LATENESS_SHARE = 0.25
 
@@ -16,5 +16,5 @@
     affects the timer that ends the request.
     """
     late = min(lateness_seconds, MAX_LATENESS_SHARE * timeout_seconds)
-    margin = LEAST_MARGIN_SECONDS + MARGIN_SHARE * timeout_seconds + late
-    return min(margin, MOST_MARGIN_SECONDS)
+    margin = MIN_MARGIN_SECONDS + MARGIN_SHARE * timeout_seconds + late
+    return min(margin, MAX_MARGIN_SECONDS)
--- a/siskinspoke/coordination/directory.py
+++ b/siskinspoke/coordination/directory.py
@@ -18,7 +18,7 @@
 # a server that has left must stop getting new work within a few seconds.
 RESTORED_LEASE_MS = 2_200
 # The incarnation of a server that does not report its start time.
-UNDATED = 0
+UNKNOWN_INCARNATION = 0
 
 
 def start_of(announcement: Announcement) -> tuple[str, int]:
@@ -26,7 +26,7 @@
     return announcement.server, announcement.incarnation
 
 
-class Heard(Enum):
+class AnnouncementEffect(Enum):
     """The effect of an announcement."""
 
     JOINED = "joined"
@@ -46,10 +46,10 @@
 
     announcement: Announcement
     heard_at: float
-    suspected_until: float = 0.0
-    proven_at: float = -math.inf
+    suspended_until: float = 0.0
+    answered_at: float = -math.inf
     since: float = 0.0
-    recalled: bool = False
+    is_restored: bool = False
 
     @property
     def start(self) -> tuple[str, int]:
@@ -57,7 +57,7 @@
         return start_of(self.announcement)
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Return the sort key that tells the later of two announcements of a server."""
         return self.announcement.incarnation, self.announcement.seq
 
@@ -69,36 +69,36 @@
         self._lease_ms = lease_ms
         self._records: dict[str, ServerRecord] = {}
         self._names: dict[int, str] = {}
-        self._dated_services: set[str] = set()
+        self._services_with_start_times: set[str] = set()
         self.changes = 0
 
-    def hear(self, announcement: Announcement, now: float) -> Heard:
+    def apply(self, announcement: Announcement, now: float) -> AnnouncementEffect:
         """Apply an announcement, which may be delayed or out of order."""
         known = self._records.get(announcement.server)
         if known is not None and self._is_stale(known, announcement):
             if known.announcement.leaving and known.start == start_of(announcement):
                 # A server that left but still announces itself must be kept, or it would rejoin.
                 known.heard_at = now
-            return Heard.STALE
+            return AnnouncementEffect.STALE
         was_live = known is not None and self._is_live(known, now)
         is_same_incarnation = (
             known is not None and known.announcement.incarnation == announcement.incarnation
         )
         record = ServerRecord(announcement, now, since=now)
         if is_same_incarnation:
-            record.suspected_until = known.suspected_until
-            record.proven_at = known.proven_at
+            record.suspended_until = known.suspended_until
+            record.answered_at = known.answered_at
             record.since = known.since
         self._store(record)
         if announcement.leaving:
             self.changes += known is None or not known.announcement.leaving
-            return Heard.LEFT if was_live else Heard.RENEWED
-        if was_live and is_same_incarnation and not known.recalled:
-            return Heard.RENEWED
+            return AnnouncementEffect.LEFT if was_live else AnnouncementEffect.RENEWED
+        if was_live and is_same_incarnation and not known.is_restored:
+            return AnnouncementEffect.RENEWED
         self.changes += 1
-        return Heard.JOINED
+        return AnnouncementEffect.JOINED
 
-    def remember(self, announcement: Announcement, now: float) -> bool:
+    def restore(self, announcement: Announcement, now: float) -> bool:
         """Restore a server that was known before a restart; return whether it was added.
 
         The stored announcement is old, so it is valid only briefly unless the server announces
@@ -109,33 +109,33 @@
             return False
         heard_at = now - self._lease_ms + RESTORED_LEASE_MS
         self.changes += 1
-        self._store(ServerRecord(announcement, heard_at, since=heard_at, recalled=True))
+        self._store(ServerRecord(announcement, heard_at, since=heard_at, is_restored=True))
         return True
 
     def _store(self, record: ServerRecord) -> None:
         announcement = record.announcement
         self._records[announcement.server] = record
         self._names[server_key(announcement.server)] = announcement.server
-        if announcement.incarnation != UNDATED:
-            self._dated_services.add(announcement.service)
+        if announcement.incarnation != UNKNOWN_INCARNATION:
+            self._services_with_start_times.add(announcement.service)
 
-    def hear_load(self, load: Load, now: float) -> Heard:
+    def apply_load(self, load: Load, now: float) -> AnnouncementEffect:
         """Apply a load update; return UNKNOWN if the server's announcement is not known."""
         known = self._records.get(self.name_of(load.key))
         if known is None or known.announcement.incarnation < load.incarnation:
-            return Heard.UNKNOWN
+            return AnnouncementEffect.UNKNOWN
         if known.announcement.incarnation > load.incarnation:
-            return Heard.STALE
-        return self.hear(with_load(known.announcement, load), now)
+            return AnnouncementEffect.STALE
+        return self.apply(with_load(known.announcement, load), now)
 
-    def renew(self, server: str, incarnation: int, seq: int, now: float) -> Heard:
+    def renew(self, server: str, incarnation: int, seq: int, now: float) -> AnnouncementEffect:
         """Renew the lease of a known server whose announcement has not changed."""
         known = self.find(server, incarnation)
         if known is None:
-            return Heard.UNKNOWN
-        return self.hear(known.announcement._replace(seq=seq), now)
+            return AnnouncementEffect.UNKNOWN
+        return self.apply(known.announcement._replace(seq=seq), now)
 
-    def prove(self, server: str, incarnation: int, now: float) -> None:
+    def record_answer(self, server: str, incarnation: int, now: float) -> None:
         """Record that a server has answered a request of this VM.
 
         This keeps a server in use that is cut off from the VMs that receive announcements, but not
@@ -143,9 +143,9 @@
         """
         record = self.find(server, incarnation)
         if record is not None:
-            record.proven_at = now
+            record.answered_at = now
 
-    def retire(self, server: str, incarnation: int) -> None:
+    def mark_leaving(self, server: str, incarnation: int) -> None:
         """Mark a server as leaving: it said so, or another server answers at its address."""
         record = self.find(server, incarnation)
         if record is not None and not record.announcement.leaving:
@@ -165,9 +165,9 @@
         is_same_incarnation = known.announcement.incarnation == announcement.incarnation
         if is_same_incarnation and known.announcement.leaving:
             return True
-        return (announcement.incarnation, announcement.seq) <= known.order
+        return (announcement.incarnation, announcement.seq) <= known.sort_key
 
-    def suspect(self, server: str, incarnation: int, now: float) -> None:
+    def suspend(self, server: str, incarnation: int, now: float) -> None:
         """Stop sending new work to a server that refused a connection, for one lease.
 
         Its announcement may remain valid for up to a lease after it died; until then every request
@@ -175,10 +175,10 @@
         """
         record = self._records.get(server)
         if record is not None and record.announcement.incarnation == incarnation:
-            record.suspected_until = now + self._lease_ms
+            record.suspended_until = now + self._lease_ms
 
     def _is_live(self, record: ServerRecord, now: float) -> bool:
-        last_seen_at = max(record.heard_at, record.proven_at)
+        last_seen_at = max(record.heard_at, record.answered_at)
         return now - last_seen_at < self._lease_ms and self._may_serve(record.announcement)
 
     def _may_serve(self, announcement: Announcement) -> bool:
@@ -189,22 +189,23 @@
         wasted.
         """
         is_foreign = (
-            announcement.incarnation == UNDATED and announcement.service in self._dated_services
+            announcement.incarnation == UNKNOWN_INCARNATION
+            and announcement.service in self._services_with_start_times
         )
         return not announcement.leaving and not is_foreign
 
     def _accepts_work(self, record: ServerRecord, now: float) -> bool:
-        return self._is_live(record, now) and record.suspected_until <= now
+        return self._is_live(record, now) and record.suspended_until <= now
 
     def live(self, now: float) -> list[ServerRecord]:
         """Return the servers that may get new work."""
         return [record for record in self._records.values() if self._accepts_work(record, now)]
 
-    def all_known(self) -> list[ServerRecord]:
+    def all_records(self) -> list[ServerRecord]:
         """Return all records, including those of servers that have left."""
         return list(self._records.values())
 
-    def remembered(self, service: str) -> list[ServerRecord]:
+    def registered(self, service: str) -> list[ServerRecord]:
         """Return the servers of a service that have not left, even if their lease has expired."""
         return [
             item
@@ -212,24 +213,26 @@
             if item.announcement.service == service and self._may_serve(item.announcement)
         ]
 
-    def serving(self, service: str, now: float) -> list[ServerRecord]:
+    def live_servers_of(self, service: str, now: float) -> list[ServerRecord]:
         """Return the servers of a service that may get new work."""
         return [item for item in self.live(now) if item.announcement.service == service]
 
-    def is_served(self, service: str, now: float) -> bool:
+    def has_live_server(self, service: str, now: float) -> bool:
         """Return whether any server of a service may get new work."""
         return any(
             item.announcement.service == service and self._accepts_work(item, now)
             for item in self._records.values()
         )
 
-    def is_believed(self, record: ServerRecord, now: float) -> bool:
+    def is_routable(self, record: ServerRecord, now: float) -> bool:
         """Return whether ``believed`` would return this server for its service."""
         if not self._may_serve(record.announcement):
             return False
-        return self._is_live(record, now) or not self.is_served(record.announcement.service, now)
+        return self._is_live(record, now) or not self.has_live_server(
+            record.announcement.service, now
+        )
 
-    def believed_among(self, names: Iterable[str], now: float) -> list[ServerRecord]:
+    def routable_among(self, names: Iterable[str], now: float) -> list[ServerRecord]:
         """Return the servers among ``names`` that may get work, by the rule of ``believed``."""
         known = [record for name in names if (record := self._records.get(name)) is not None]
         live = [item for item in known if self._accepts_work(item, now)]
@@ -244,13 +247,13 @@
         record = self._records.get(server)
         return record is None or record.announcement.leaving
 
-    def believed(self, service: str, now: float) -> list[ServerRecord]:
+    def routable(self, service: str, now: float) -> list[ServerRecord]:
         """Return the servers of a service that may get work.
 
         If no lease is valid, fall back to servers whose lease has expired: a VM that is cut off
         from the VMs that receive announcements continues with what it knows.
         """
-        return self.serving(service, now) or self.remembered(service)
+        return self.live_servers_of(service, now) or self.registered(service)
 
     def find(self, server: str, incarnation: int) -> ServerRecord | None:
         """Return the record of one incarnation of a server, live or not."""
@@ -264,7 +267,7 @@
         record = self._records.get(server)
         return record is not None and record.announcement.incarnation > incarnation
 
-    def remembered_capacity(self, service: str) -> int:
+    def registered_capacity(self, service: str) -> int:
         """Return the total KV memory of a service's servers that have not left, live or not."""
         return sum(
             item.announcement.total_tokens
@@ -272,7 +275,7 @@
             if item.announcement.service == service and not item.announcement.leaving
         )
 
-    def forget(self, now: float) -> list[str]:
+    def prune(self, now: float) -> list[str]:
         """Drop expired records and return the names of their servers.
 
         A record is kept after its lease has expired, so that a datagram delayed in the network is
--- a/siskinspoke/coordination/domains.py
+++ b/siskinspoke/coordination/domains.py
@@ -21,7 +21,7 @@
     partitioned_since: float | None = None
 
 
-class Domains:
+class DomainMonitor:
     """Tracks unreachable servers by failure domain; times are in milliseconds.
 
     VMs of the same domain share what they find. Otherwise, with 23 VMs that have a second between
@@ -31,12 +31,12 @@
     def __init__(self) -> None:
         self._domains: dict[str, _Domain] = {}
 
-    def reached(self, domain: str) -> bool:
+    def record_success(self, domain: str) -> bool:
         """Record a connection to a server of a domain; return whether that ends a partition."""
         record = self._domains.pop(domain, None)
         return record is not None and record.partitioned_since is not None
 
-    def unreached(self, domain: str, server: str, now: float) -> bool:
+    def record_failure(self, domain: str, server: str, now: float) -> bool:
         """Record a failed connection; return whether the domain is newly considered cut off."""
         record = self._domains.setdefault(domain, _Domain())
         record.failed_at[server] = now
@@ -48,14 +48,14 @@
         record.partitioned_since = now
         return True
 
-    def told(self, domain: str, vm: str, now: float) -> bool:
+    def record_report(self, domain: str, vm: str, now: float) -> bool:
         """Record that another VM of this domain reports a partition; return whether it is new.
 
         The report of one VM counts as one unreachable server, since only that VM may be cut off.
         """
-        return self.unreached(domain, f"told by {vm}", now)
+        return self.record_failure(domain, f"told by {vm}", now)
 
-    def refused(self, domain: str, now: float) -> bool:
+    def record_refusals(self, domain: str, now: float) -> bool:
         """Record that several servers of a domain refuse at once; return whether that is new."""
         record = self._domains.setdefault(domain, _Domain())
         record.failed_at["refused"] = now
@@ -64,13 +64,13 @@
         record.partitioned_since = now
         return True
 
-    def is_cut(self, domain: str, now: float) -> bool:
+    def is_cut_off(self, domain: str, now: float) -> bool:
         """Return whether a domain is considered unreachable."""
         record = self._domains.get(domain)
         if record is None or record.partitioned_since is None:
             return False
         return now - max(record.failed_at.values()) < PARTITION_TTL_MS
 
-    def cut_now(self, now: float) -> list[str]:
+    def cut_off(self, now: float) -> list[str]:
         """Return the domains that are considered unreachable."""
-        return [name for name in self._domains if self.is_cut(name, now)]
+        return [name for name in self._domains if self.is_cut_off(name, now)]
--- a/siskinspoke/coordination/fairness.py
+++ b/siskinspoke/coordination/fairness.py
@@ -62,7 +62,7 @@
         return active[customer] / (total * share)
 
 
-def patience_ms(ratio: float, limit_ms: float) -> float:
+def max_backlog_ms(ratio: float, limit_ms: float) -> float:
     """Return the longest backlog at which a customer is admitted.
 
     ``ratio`` is the customer's work over its fair share.  Up to 1 the limit applies unchanged.
--- a/siskinspoke/coordination/fingerprints.py
+++ b/siskinspoke/coordination/fingerprints.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Subject:
+class RequestIdentity:
     """The parts of a request that decide whether it equals another one."""
 
     customer: str
--- a/siskinspoke/coordination/followers.py
+++ b/siskinspoke/coordination/followers.py
@@ -44,7 +44,7 @@
         for name in self._progress.keys() - wanted:
             del self._progress[name]
 
-    def silent_since(self, name: str) -> float:
+    def last_heard_at(self, name: str) -> float:
         """Return the time at which a replica was last heard from."""
         return self._progress[name].heard_at
 
@@ -66,7 +66,7 @@
             if not item.incarnation or self._is_counted(name, item.incarnation)
         )
 
-    def held_by(self, needed: int, own: int | None) -> int:
+    def replicated_index(self, needed: int, own: int | None) -> int:
         """Return the highest index stored on more than ``needed`` counted disks, or 0.
 
         ``own`` is the leader's last index, None if its own disk does not count.
@@ -77,7 +77,7 @@
         matches.sort(reverse=True)
         return matches[needed] if len(matches) > needed else 0
 
-    def leased_from(self, needed: int) -> float:
+    def quorum_lease_start(self, needed: int) -> float:
         """Return the latest time at or after which ``needed`` counted leases start, or -inf."""
         times = sorted((item.leased_from for _, item in self._counted_items()), reverse=True)
         return times[needed - 1] if len(times) >= needed else -math.inf
@@ -93,7 +93,7 @@
         )
         return sum(confirmed) >= needed
 
-    def best(self) -> str | None:
+    def most_up_to_date(self) -> str | None:
         """Return the counted follower with the most of the log, or None."""
         ranked = [(item.match, name) for name, item in self._counted_items()]
         return max(ranked)[1] if ranked else None
--- a/siskinspoke/coordination/foresight.py
+++ b/siskinspoke/coordination/foresight.py
@@ -16,7 +16,7 @@
 MAX_MARGIN_MS = 80.0
 
 
-class Foresight:
+class FirstTokenMargin:
     """A running quantile of the delay of first tokens beyond their expected time.
 
     Each observation moves the estimate up or down by a step, in the ratio that keeps it at the
@@ -31,7 +31,7 @@
         """Return the delay beyond the expected time that most first tokens stay within."""
         return self._margin_ms
 
-    def came(self, expected_ms: float, actual_ms: float) -> None:
+    def observe(self, expected_ms: float, actual_ms: float) -> None:
         """Update the margin with the expected and the actual time of a first token."""
         is_late = actual_ms - expected_ms > self._margin_ms
         moved = self._margin_ms + STEP_MS * (QUANTILE if is_late else QUANTILE - 1)
--- a/siskinspoke/coordination/known_entries.py
+++ b/siskinspoke/coordination/known_entries.py
@@ -20,38 +20,38 @@
         self._following: dict[EntryPeer, int] = {}
         self._left_at: dict[EntryPeer, float] = {}
 
-    def recall(self, entries: list[EntryPeer], now: float) -> None:
+    def restore(self, entries: list[EntryPeer], now: float) -> None:
         """Restore the entry VMs that were connected before this VM restarted."""
         self._left_at |= dict.fromkeys(entries, now)
 
-    def joined(self, entry: EntryPeer) -> None:
+    def connected(self, entry: EntryPeer) -> None:
         """Record a connection of an entry VM; it may briefly have two."""
         self._following[entry] = self._following.get(entry, 0) + 1
         self._left_at.pop(entry, None)
 
-    def left(self, entry: EntryPeer, now: float) -> None:
+    def disconnected(self, entry: EntryPeer, now: float) -> None:
         """Record that one of an entry VM's connections has ended."""
         self._following[entry] -= 1
         if not self._following[entry]:
             del self._following[entry]
             self._left_at[entry] = now
 
-    def follows(self, entry: EntryPeer) -> bool:
+    def is_connected(self, entry: EntryPeer) -> bool:
         """Return whether an entry VM is connected."""
         return entry in self._following
 
-    def named(self, now: float) -> set[EntryPeer]:
+    def announced(self, now: float) -> set[EntryPeer]:
         """Return the entry VMs to announce to the others."""
         return self._following.keys() | self._lost_since(now, LOST_ENTRY_ANNOUNCE_SECONDS)
 
-    def kept(self, now: float) -> set[EntryPeer]:
+    def stored(self, now: float) -> set[EntryPeer]:
         """Return the entry VMs to store on disk."""
         return self._following.keys() | self._lost_since(now, LOST_ENTRY_STORE_SECONDS)
 
     def _lost_since(self, now: float, seconds: float) -> set[EntryPeer]:
         return {entry for entry, at in self._left_at.items() if now - at < seconds}
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop entry VMs that were lost too long ago."""
         for entry in self._left_at.keys() - self._lost_since(now, LOST_ENTRY_STORE_SECONDS):
             del self._left_at[entry]
--- a/siskinspoke/coordination/left_out.py
+++ b/siskinspoke/coordination/left_out.py
@@ -8,22 +8,22 @@
 TEMPORARY_EXCLUSION_MS = 1_000.0
 
 
-class LeftOut:
+class ExcludedServers:
     """The servers that failed one request, and those excluded for it temporarily."""
 
     def __init__(self) -> None:
         self._failed_starts: set[tuple[str, int]] = set()
         self._excluded_until: dict[str, float] = {}
 
-    def fail(self, start: tuple[str, int]) -> None:
+    def exclude_until_restart(self, start: tuple[str, int]) -> None:
         """Exclude a server until it restarts, since the failure was of the old process."""
         self._failed_starts.add(start)
 
-    def put_off(self, server: str, now: float) -> None:
+    def exclude_temporarily(self, server: str, now: float) -> None:
         """Exclude a server for TEMPORARY_EXCLUSION_MS."""
         self._excluded_until[server] = now + TEMPORARY_EXCLUSION_MS
 
-    def names(self, directory: Directory, now: float) -> set[str]:
+    def current(self, directory: Directory, now: float) -> set[str]:
         """Return the servers that are excluded now."""
         failed = {
             name for name, start in self._failed_starts if not directory.superseded(name, start)
--- a/siskinspoke/coordination/limiters.py
+++ b/siskinspoke/coordination/limiters.py
@@ -29,11 +29,11 @@
 # back, or have been replaced.
 BACKUP_MAX_WAIT_MS = 800.0
 # An unused permit expires after this time.
-PERMIT_MS = 300.0
+PERMIT_LIFETIME_MS = 300.0
 # With a limit of zero a server would never be asked whether it still has that limit.
 MIN_RATE = 0.1
 # A limiter takes over from those before it once they have been silent for this long.
-TAKE_OVER_MS = 1_500.0
+TAKEOVER_MS = 1_500.0
 # A limiter grants nothing for this long after a start or stall. Another may have taken over, and
 # the VMs that ask that one detect within this time that the first is back.
 STARTUP_QUIET_MS = 1_000.0
@@ -58,14 +58,14 @@
     ELSEWHERE = 3
 
 
-class Verdict(NamedTuple):
+class PermitDecision(NamedTuple):
     """``wait_ms`` is the time until the permit may be used or, if refused, until the next query."""
 
     outcome: Outcome
     wait_ms: float = 0.0
 
 
-class Ask(NamedTuple):
+class PermitQuery(NamedTuple):
     """A VM's query for a permit; times are in milliseconds.
 
     ``silent_ms`` is how long the limiters that precede the one asked have been silent to this VM,
@@ -79,7 +79,7 @@
     silent_ms: float
 
 
-def limiters_of(server: str, domain: str, vms: Mapping[str, str]) -> tuple[str, ...]:
+def choose_limiters(server: str, domain: str, vms: Mapping[str, str]) -> tuple[str, ...]:
     """Return the VMs that may grant permits for a server, the first limiter first.
 
     ``vms`` maps hosts to failure domains. VMs of the server's own domain come first, since they can
@@ -111,40 +111,44 @@
         self._started_at = now
         self._quiet_until = now + STARTUP_QUIET_MS
 
-    def forget(self, servers: Iterable[str]) -> None:
+    def prune(self, servers: Iterable[str]) -> None:
         """Drop the state of servers not in ``servers``."""
         kept = set(servers)
         for records in (self._buckets, self._queriers):
             for start in [start for start in records if start[0] not in kept]:
                 del records[start]
 
-    def decide(self, ask: Ask, place: int | None, has_quorum: bool, now: float) -> Verdict:
+    def decide(
+        self, query: PermitQuery, rank: int | None, has_quorum: bool, now: float
+    ) -> PermitDecision:
         """Answer a query; ``rank`` is this VM's among the server's limiters, None if it is not one.
 
         ``has_quorum`` tells whether this VM reaches most of the fleet.
         """
         self.tick(now)
-        if place is None or now < self._quiet_until:
-            return Verdict(Outcome.ELSEWHERE)
-        is_first = has_quorum and (place == 0 or ask.silent_ms >= TAKE_OVER_MS)
-        rate = max(MIN_RATE, ask.rate) * (1.0 if is_first else BACKUP_RATE_SHARE)
+        if rank is None or now < self._quiet_until:
+            return PermitDecision(Outcome.ELSEWHERE)
+        is_first = has_quorum and (rank == 0 or query.silent_ms >= TAKEOVER_MS)
+        rate = max(MIN_RATE, query.rate) * (1.0 if is_first else BACKUP_RATE_SHARE)
         burst = PRIMARY_BURST if is_first else BACKUP_BURST
-        bucket = self._buckets.get(ask.start)
+        bucket = self._buckets.get(query.start)
         if bucket is None:
             level = burst if now - self._started_at > EMPTY_BUCKET_MS else 0.0
-            bucket = self._buckets[ask.start] = TokenBucket(level, now)
-        grant = bucket.take(rate, burst, now, ask.patience_ms)
+            bucket = self._buckets[query.start] = TokenBucket(level, now)
+        grant = bucket.take(rate, burst, now, query.patience_ms)
         if grant.granted:
-            return Verdict(Outcome.GRANTED, grant.wait_ms)
+            return PermitDecision(Outcome.GRANTED, grant.wait_ms)
         wait_ms = grant.wait_ms if is_first else min(grant.wait_ms, BACKUP_MAX_WAIT_MS)
-        return Verdict(Outcome.LATER, max(wait_ms, self._query_interval_ms(ask, rate, now)))
+        return PermitDecision(
+            Outcome.LATER, max(wait_ms, self._query_interval_ms(query, rate, now))
+        )
 
-    def _query_interval_ms(self, ask: Ask, rate: float, now: float) -> float:
+    def _query_interval_ms(self, query: PermitQuery, rate: float, now: float) -> float:
         """Return when a VM may ask again, so that queries do not grow with the number of VMs."""
-        queriers = self._queriers.setdefault(ask.start, {})
+        queriers = self._queriers.setdefault(query.start, {})
         for host in [host for host, until in queriers.items() if until < now]:
             del queriers[host]
-        queriers[ask.host] = now
+        queriers[query.host] = now
         pause_ms = len(queriers) / max(QUERIES_PER_SECOND, QUERIES_PER_PERMIT * rate) * 1000
-        queriers[ask.host] = now + pause_ms + QUERIER_RETENTION_MS
+        queriers[query.host] = now + pause_ms + QUERIER_RETENTION_MS
         return pause_ms
--- a/siskinspoke/coordination/liveness.py
+++ b/siskinspoke/coordination/liveness.py
@@ -22,7 +22,7 @@
 # that several requests ask for at the same time are thus merged into one.
 PROBE_SUCCESS_TTL_MS = 50.0
 # Interval at which one overdue answer triggers further probes.
-OVERDUE_AGAIN_MS = 250.0
+OVERDUE_PROBE_INTERVAL_MS = 250.0
 # A server that could not be reached is probed again after this time, until it can be reached.
 PROBE_RETRY_MS = 500.0
 
@@ -36,22 +36,22 @@
 DEVIATION_FACTOR = 8.0
 
 
-def first_due_ms(expected_ms: float) -> float:
+def first_token_timeout_ms(expected_ms: float) -> float:
     """Return how long after sending a first token is overdue."""
     return max(MIN_FIRST_TOKEN_TIMEOUT_MS, expected_ms)
 
 
-def event_due_ms(pass_ms: float) -> float:
+def event_timeout_ms(pass_ms: float) -> float:
     """Return how long after an event the next one is overdue; each pass produces one event."""
     return max(MIN_EVENT_TIMEOUT_MS, EVENT_TIMEOUT_PASSES * pass_ms)
 
 
-def whole_due_ms(usual_ms: float) -> float:
+def answer_timeout_ms(usual_ms: float) -> float:
     """Return how long after sending a whole answer is overdue."""
     return max(MIN_ANSWER_TIMEOUT_MS, ANSWER_TIMEOUT_FACTOR * usual_ms)
 
 
-class ConnectTimer:
+class ConnectTimeout:
     """Adaptive connection timeout, in milliseconds.
 
     On slow or congested links a SYN waits behind other traffic, 80 ms behind one configuration at
@@ -63,7 +63,7 @@
         self._mean: float | None = None
         self._deviation = 0.0
 
-    def took(self, ms: float) -> None:
+    def record(self, ms: float) -> None:
         """Record how long a connection took."""
         if self._mean is None:
             self._mean, self._deviation = ms, ms / 2
@@ -73,7 +73,7 @@
         self._deviation += DEVIATION_GAIN * (abs(error) - self._deviation)
 
     @property
-    def give_up_ms(self) -> float:
+    def connect_timeout_ms(self) -> float:
         """Return the connection timeout."""
         if self._mean is None:
             return MAX_CONNECT_TIMEOUT_MS
@@ -96,22 +96,22 @@
     reached: bool = True
 
 
-class Looks:
+class ProbeTracker:
     """Tracks probes by server and incarnation; times are in milliseconds."""
 
     def __init__(self) -> None:
         self._probes: dict[tuple[str, int], _Probe] = {}
         self._last_loss_at = -math.inf
 
-    def alarm(self, now: float) -> None:
+    def record_loss(self, now: float) -> None:
         """Record that a server was found lost, by this VM or another one."""
         self._last_loss_at = now
 
-    def patience(self, now: float) -> float:
+    def timeout_factor(self, now: float) -> float:
         """Return the factor to apply to the time after which an answer is overdue."""
         return 1.0 if now - self._last_loss_at < LOSS_ALERT_MS else NORMAL_TIMEOUT_FACTOR
 
-    def wanted(self, start: tuple[str, int], now: float) -> bool:
+    def should_probe(self, start: tuple[str, int], now: float) -> bool:
         """Return whether probing a server now would give new information."""
         probe = self._probes.get(start)
         if probe is None:
@@ -119,19 +119,19 @@
         wait = PROBE_SUCCESS_TTL_MS if probe.reached else PROBE_RETRY_MS
         return not probe.in_progress and now - probe.at >= wait
 
-    def began(self, start: tuple[str, int], now: float) -> None:
+    def start(self, start: tuple[str, int], now: float) -> None:
         """Record that a probe has started."""
         self._probes[start] = _Probe(now)
 
-    def ended(self, start: tuple[str, int], reached: bool, now: float) -> None:
+    def finish(self, start: tuple[str, int], reached: bool, now: float) -> None:
         """Record the result of a probe."""
         self._probes[start] = _Probe(now, in_progress=False, reached=reached)
 
-    def drop(self, start: tuple[str, int]) -> None:
+    def cancel(self, start: tuple[str, int]) -> None:
         """Forget a probe that was cancelled."""
         self._probes.pop(start, None)
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop expired probes."""
         for start, probe in list(self._probes.items()):
             if not probe.in_progress and now - probe.at > PROBE_RETRY_MS:
--- a/siskinspoke/coordination/moving.py
+++ b/siskinspoke/coordination/moving.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 
-class Prospect(NamedTuple):
+class PauseForecast(NamedTuple):
     """The expected pause of a stream at its own engine, and at the best other one.
 
     ``silent_ms`` is the time since its last event, ``reads_ms`` the remaining prefill time at its
@@ -26,13 +26,13 @@
     margin_ms: float
 
 
-def leaves(prospect: Prospect) -> bool:
+def should_move(forecast: PauseForecast) -> bool:
     """Return whether the pause stays acceptable only if the stream moves.
 
     The margin is applied against moving on both sides.
     """
-    if prospect.best_ms is None:
+    if forecast.best_ms is None:
         return False
-    stay_pause_ms = prospect.silent_ms + prospect.reads_ms - prospect.margin_ms
-    move_pause_ms = prospect.silent_ms + prospect.best_ms + prospect.margin_ms
-    return move_pause_ms <= prospect.pause_ms < stay_pause_ms
+    stay_pause_ms = forecast.silent_ms + forecast.reads_ms - forecast.margin_ms
+    move_pause_ms = forecast.silent_ms + forecast.best_ms + forecast.margin_ms
+    return move_pause_ms <= forecast.pause_ms < stay_pause_ms
--- a/siskinspoke/coordination/passes.py
+++ b/siskinspoke/coordination/passes.py
@@ -8,13 +8,13 @@
 PAIRS_PER_MILLION = 1_000_000
 
 
-class Writer(NamedTuple):
+class DecodingStream(NamedTuple):
     """A decoding stream, with the context length that each of its steps attends to."""
 
     context_tokens: int
 
 
-def read_ms(costs: EngineCosts, tokens: int, parts: int = 1) -> float:
+def prefill_ms(costs: EngineCosts, tokens: int, parts: int = 1) -> float:
     """Return the time in which one engine prefills its part of a prompt.
 
     Tokens and attention pairs (a token with an earlier one) are divided evenly among the parts.
@@ -23,7 +23,7 @@
     return (tokens / costs.read_tokens_per_ms + pairs * costs.pair_ms_per_million) / parts
 
 
-def pass_ms(costs: EngineCosts, writers: Iterable[Writer]) -> float:
+def pass_ms(costs: EngineCosts, writers: Iterable[DecodingStream]) -> float:
     """Return the time of a pass that decodes these streams and does no prefill."""
     streams, context = 0, 0
     for writer in writers:
--- a/siskinspoke/coordination/placement.py
+++ b/siskinspoke/coordination/placement.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from siskinspoke.coordination.books import Books, Job, Stage
-from siskinspoke.coordination.passes import Writer, pass_ms, read_ms
+from siskinspoke.coordination.books import Job, Stage, WorkTable
+from siskinspoke.coordination.passes import DecodingStream, pass_ms, prefill_ms
 from siskinspoke.coordination.routes import EngineCosts
 
 # Maximum number of engines, besides the decoding one, that prefill parts of one prompt.
@@ -32,7 +32,7 @@
 MIN_FREE_SLOTS = 2
 # In a large fleet each short prompt considers a random sample of this many engines: VMs with the
 # same information would otherwise all choose the engine that is best in the whole fleet.
-DRAWN_ENGINES = 12
+SAMPLED_ENGINES = 12
 # Cost of taking the last slot of an engine, rising linearly from CROWDING_THRESHOLD of its slots
 # on, and the range of a random cost added to every engine.  VMs learn of each other's work some
 # milliseconds late and would otherwise fill the same engine at the same time.
@@ -104,16 +104,16 @@
 
 
 class Placement:
-    """Choose engines for jobs, based on the in-flight work in ``books``."""
+    """Choose engines for jobs, based on the in-flight work in ``work_table``."""
 
-    def __init__(self, work_table: Books):
-        self.books = work_table
+    def __init__(self, work_table: WorkTable):
+        self.work_table = work_table
 
     def _state(self, costs: EngineCosts, candidate: Candidate, now: float) -> _EngineState:
-        engine = self.books.engine(candidate.server)
+        engine = self.work_table.engine(candidate.server)
         decoding, pending, min_pause, weight, used, shorts, streams = [], 0.0, 1e9, 0.0, 0, 0, 0
         tokens_left = pending_prefills = 0
-        for work in engine.works.values():
+        for work in engine.in_flight.values():
             decodes = work.servers[0] == candidate.server
             used += work.tokens_at(candidate.server)
             if decodes:
@@ -125,22 +125,22 @@
                 tokens_left += work.job.max_tokens
                 pending_prefills += work.stage is Stage.PREFILL
             if work.stage is Stage.DECODE:
-                decoding.append(Writer(work.tokens_at(candidate.server)))
+                decoding.append(DecodingStream(work.tokens_at(candidate.server)))
             else:
-                part = read_ms(costs, work.job.tokens, work.engine_count)
+                part = prefill_ms(costs, work.job.tokens, work.engine_count)
                 pending += max(part - max(0.0, now - work.began_at - part), part * 0.2)
-        decode_pass_ms = pass_ms(costs, decoding) * engine.pace
+        decode_pass_ms = pass_ms(costs, decoding) * engine.slowdown
         queue_ms = 0.0
         if streams >= costs.slots:
             passes = tokens_left / streams / costs.pass_steps
             # Streams that are all still in prefill will decode before a slot is free, so a pass
             # takes at least the time of its steps.
-            decode_pass = max(decode_pass_ms, costs.pass_steps * costs.step_ms * engine.pace)
+            decode_pass = max(decode_pass_ms, costs.pass_steps * costs.step_ms * engine.slowdown)
             queue_ms = (streams - costs.slots + 1) * passes * decode_pass / costs.slots
         return _EngineState(
             candidate.server,
             decode_pass_ms,
-            pending * engine.pace,
+            pending * engine.slowdown,
             min_pause,
             weight,
             streams,
@@ -148,7 +148,7 @@
             pending_prefills,
             costs.memory_tokens - used,
             candidate.penalty + queue_ms,
-            engine.pace,
+            engine.slowdown,
         )
 
     def _available_states(
@@ -160,17 +160,18 @@
 
     def pass_ms(self, costs: EngineCosts, server: str) -> float:
         """Return the time of an engine's next pass if it does no prefill."""
-        works = self.books.engine(server).works.values()
-        decoding = [Writer(work.tokens_at(server)) for work in works]
+        works = self.work_table.engine(server).in_flight.values()
+        decoding = [DecodingStream(work.tokens_at(server)) for work in works]
         least = costs.pass_steps * costs.step_ms
-        return max(least, pass_ms(costs, decoding)) * self.books.engine(server).pace
+        return max(least, pass_ms(costs, decoding)) * self.work_table.engine(server).slowdown
 
-    def reading_ms(self, costs: EngineCosts, server: str, now: float) -> float:
+    def remaining_prefill_ms(self, costs: EngineCosts, server: str, now: float) -> float:
         """Return the prefill time that remains for the prompts known to be at an engine."""
-        engine = self.books.engine(server)
-        in_prefill = [work for work in engine.works.values() if work.stage is Stage.PREFILL]
+        engine = self.work_table.engine(server)
+        in_prefill = [work for work in engine.in_flight.values() if work.stage is Stage.PREFILL]
         parts = [
-            read_ms(costs, work.job.tokens, work.engine_count) * engine.pace for work in in_prefill
+            prefill_ms(costs, work.job.tokens, work.engine_count) * engine.slowdown
+            for work in in_prefill
         ]
         elapsed_ms = [now - work.began_at for work in in_prefill]
         return sum(
@@ -240,7 +241,7 @@
         As few engines as possible keep parts of the KV cache.  The largest part kept determines the
         time of a decoding step, so these engines keep equal parts.  The others only prefill.
         """
-        part = read_ms(costs, job.tokens, size)
+        part = prefill_ms(costs, job.tokens, size)
         ranked = sorted(states, key=lambda state: self._engine_cost(costs, state, part))
         for count in range(2, size + 1):
             share = -(-job.tokens // count)
@@ -299,7 +300,7 @@
         herd_avoidance: float,
         rng: random.Random,
     ) -> Place:
-        part = read_ms(costs, job.tokens)
+        part = prefill_ms(costs, job.tokens)
 
         def cost(state: _EngineState) -> float:
             first = self._first_token_ms(costs, state, part) + state.penalty
@@ -368,7 +369,7 @@
         size: int,
     ) -> tuple[float, Place]:
         """Return the cost and the place of the lowest-cost group of one size."""
-        part = read_ms(costs, job.tokens, size)
+        part = prefill_ms(costs, job.tokens, size)
 
         def cost(state: _EngineState) -> float:
             return self._engine_cost(costs, state, part)
@@ -390,7 +391,7 @@
         self, costs: EngineCosts, job: Job, group: list[_EngineState], held: tuple[int, ...]
     ) -> tuple[float, Place]:
         """Return the total cost of a group, and the group as a place."""
-        part = read_ms(costs, job.tokens, len(group))
+        part = prefill_ms(costs, job.tokens, len(group))
         disruption = sum(self._disruption_cost(state, part) for state in group)
         first_ms = max(self._first_token_ms(costs, state, part) + state.penalty for state in group)
         late = job.weight * _lateness_loss(first_ms, job.target_ms)
@@ -409,7 +410,7 @@
 
 def _sample_size(engines: int) -> int:
     """Return how many engines of a fleet are considered for a short prompt."""
-    more = max(0, engines - DRAWN_ENGINES)
+    more = max(0, engines - SAMPLED_ENGINES)
     return engines - round(more * _herd_avoidance(engines))
 
 
--- a/siskinspoke/coordination/rate_limits.py
+++ b/siskinspoke/coordination/rate_limits.py
@@ -36,7 +36,7 @@
         """Return the limit of a server, or None if it has none."""
         return self._limits.get(start)
 
-    def name(self, start: Start, rate: float, now: float) -> bool:
+    def record(self, start: Start, rate: float, now: float) -> bool:
         """Record a server's limit; return whether it is new or changed."""
         known = self._limits.get(start)
         if now < max(self._lifted_at.get(start, now), known.heard_at if known else now):
@@ -46,7 +46,7 @@
         self._limits[start] = RateLimit(rate, since, now)
         return is_news
 
-    def lift(self, start: Start, sent_at: float, now: float) -> bool:
+    def remove(self, start: Start, sent_at: float, now: float) -> bool:
         """Remove a limit if a request sent at ``sent_at`` was answered without one.
 
         Return whether a limit was removed. The answer to a request sent before the limit was
@@ -60,21 +60,21 @@
         self._lifted_at[start] = now
         return True
 
-    def started(self, previous: Start, start: Start, now: float) -> None:
+    def carry_over(self, previous: Start, start: Start, now: float) -> None:
         """Record a restart; a recent limit may have come from the new process, so copy it."""
         known = self._limits.get(previous)
         if known is not None and now - known.heard_at < RESTART_OVERLAP_MS:
-            self.name(start, known.rate, known.heard_at)
+            self.record(start, known.rate, known.heard_at)
 
-    def close(self, start: Start, until: float) -> None:
+    def block_until(self, start: Start, until: float) -> None:
         """Block requests to a server until a time."""
         self._closed_until[start] = until
 
-    def closed_until(self, start: Start) -> float:
+    def blocked_until(self, start: Start) -> float:
         """Return until when requests to a server are blocked, minus infinity if they are not."""
         return self._closed_until.get(start, -math.inf)
 
-    def forget(self, servers: Iterable[str]) -> None:
+    def prune(self, servers: Iterable[str]) -> None:
         """Drop the limits of servers not in ``servers``."""
         kept = set(servers)
         for records in (self._limits, self._lifted_at, self._closed_until):
--- a/siskinspoke/coordination/replica/leading.py
+++ b/siskinspoke/coordination/replica/leading.py
@@ -53,7 +53,7 @@
         """
         if self.role is not Role.LEADER:
             return
-        successor = self._followers.best()
+        successor = self._followers.most_up_to_date()
         if successor is not None:
             self._out.sends.append((successor, Handover(self.name, self.term)))
         self._step_down(now)
@@ -140,7 +140,7 @@
     def _advance_commit(self, now: float) -> None:
         """Commit entries of this term that a majority of admitted disks holds."""
         own_index = self._durable_index if self.admitted else None
-        majority_index = self._followers.held_by(len(self.members) // 2, own_index)
+        majority_index = self._followers.replicated_index(len(self.members) // 2, own_index)
         if majority_index > self.commit and self.log.term_at(majority_index) == self.term:
             self._commit_to(majority_index)
             # Tell followers immediately, so that each of them can serve the committed entries.
@@ -167,7 +167,7 @@
         needed = len(self.members) // 2
         if not needed:
             return math.inf
-        return self._followers.leased_from(needed) + self._times.election_ms * LEASE_FRACTION
+        return self._followers.quorum_lease_start(needed) + self._times.election_ms * LEASE_FRACTION
 
     def can_serve_reads(self) -> bool:
         """Return whether the commit index covers all entries committed by earlier leaders."""
--- a/siskinspoke/coordination/replica/members.py
+++ b/siskinspoke/coordination/replica/members.py
@@ -85,7 +85,7 @@
                 body = {"name": name, "incarnation": progress.incarnation}
                 self.propose(ADD, body, now)
                 return
-        last_heard = {name: self._followers.silent_since(name) for name in self._peers}
+        last_heard = {name: self._followers.last_heard_at(name) for name in self._peers}
         unresponsive = member_to_remove(last_heard, len(self.members), now)
         if unresponsive is not None:
             self.propose(REMOVE, {"name": unresponsive}, now)
--- a/siskinspoke/coordination/retries.py
+++ b/siskinspoke/coordination/retries.py
@@ -3,7 +3,7 @@
 from collections import defaultdict, deque
 from typing import NamedTuple
 
-START_CREDIT = 5.0
+INITIAL_CREDIT = 5.0
 MAX_CREDIT = 50.0
 
 
@@ -16,7 +16,7 @@
 
     def __init__(self, share: float):
         self._share = share
-        self._credit = START_CREDIT
+        self._credit = INITIAL_CREDIT
 
     def set_share(self, share: float) -> None:
         """Apply the share from a new configuration."""
@@ -26,7 +26,7 @@
         """Add the credit for one first attempt."""
         self._credit = min(MAX_CREDIT, self._credit + self._share)
 
-    def take(self) -> bool:
+    def spend(self) -> bool:
         """Spend one retry; return whether there was credit for it."""
         if self._credit < 1:
             return False
@@ -48,7 +48,7 @@
 MIN_VM_BURST = 6.0
 
 
-class Calls(NamedTuple):
+class CallCounts(NamedTuple):
     """The requests for a service that a VM has received, and the retries it has sent."""
 
     service: str
@@ -80,7 +80,7 @@
             self.repeats -= repeats
 
 
-class CommonBudget:
+class SharedRetryBudget:
     """A retry budget per service that all VMs share; times are in milliseconds.
 
     The budget is a share of recent requests plus a burst. Each VM reports its requests and retries
@@ -98,33 +98,33 @@
         self._own: defaultdict[str, _Window] = defaultdict(_Window)
         self._unsent: defaultdict[str, list[int]] = defaultdict(lambda: [0, 0])
 
-    def set_vms(self, known: int, heard: int = 1) -> None:
+    def set_vms(self, known: int, reachable: int = 1) -> None:
         """Set how many VMs share the budget and how many of them are reachable.
 
         Unreachable VMs may be using their parts beyond a partition, so those parts are left out.
         """
         self._vms = max(1, known)
-        self._reachable_vms = min(self._vms, max(1, heard))
+        self._reachable_vms = min(self._vms, max(1, reachable))
 
     def first_attempt(self, service: str, now: float) -> None:
         """Count one request for a service."""
         self._count(service, 1, 0, now)
 
-    def take(self, service: str, now: float) -> bool:
+    def spend(self, service: str, now: float) -> bool:
         """Spend one retry for a service; return whether the budget allowed it."""
-        if not self.has_left(service, now):
+        if not self.can_spend(service, now):
             return False
         self._count(service, 0, 1, now)
         return True
 
-    def give_back(self, service: str, now: float) -> None:
+    def refund(self, service: str, now: float) -> None:
         """Refund a retry that was not sent; VMs that were told of it still count it."""
         self._total[service].add(0, -1, now)
         self._own[service].add(0, -1, now)
         unsent = self._unsent[service]
         unsent[1] = max(0, unsent[1] - 1)
 
-    def has_left(self, service: str, now: float) -> bool:
+    def can_spend(self, service: str, now: float) -> bool:
         """Return whether a retry for a service could be spent now."""
         total, own = self._total[service], self._own[service]
         total.forget(now)
@@ -144,17 +144,17 @@
         unsent[0] += requests
         unsent[1] += repeats
 
-    def heard(self, calls: Calls, now: float) -> None:
+    def add_remote(self, calls: CallCounts, now: float) -> None:
         """Add the counts reported by another VM."""
         self._total[calls.service].add(calls.requests, calls.repeats, now)
 
     @property
-    def has_repeats_to_tell(self) -> bool:
+    def has_unsent_retries(self) -> bool:
         """Return whether there are retries that have not been reported to the other VMs."""
         return any(repeats for _, repeats in self._unsent.values())
 
-    def take_news(self) -> list[Calls]:
+    def take_unsent(self) -> list[CallCounts]:
         """Return and clear the counts that have not been reported to the other VMs."""
-        unsent = [Calls(service, *counts) for service, counts in self._unsent.items()]
+        unsent = [CallCounts(service, *counts) for service, counts in self._unsent.items()]
         self._unsent.clear()
         return unsent
--- a/siskinspoke/coordination/routing.py
+++ b/siskinspoke/coordination/routing.py
@@ -40,7 +40,7 @@
 TOKEN_MS_GAIN = 0.05
 
 
-class Work(NamedTuple):
+class RoutingRequest(NamedTuple):
     """The properties of a request that routing uses."""
 
     service: str
@@ -82,7 +82,7 @@
     shares: tuple[int, ...] = ()
 
 
-class Ticket(NamedTuple):
+class DispatchId(NamedTuple):
     """Identifies one dispatch within the router."""
 
     server: str
@@ -141,10 +141,10 @@
         known = self.token_ms(service)
         self._token_ms[service] = known + TOKEN_MS_GAIN * (measured - known)
 
-    def _decode_ms(self, work: Work) -> float:
+    def _decode_ms(self, work: RoutingRequest) -> float:
         return work.max_tokens * self.token_ms(work.service)
 
-    def estimate_ms(self, record: ServerRecord, work: Work, now: float) -> float:
+    def estimate_ms(self, record: ServerRecord, work: RoutingRequest, now: float) -> float:
         """Return the estimated time to first token at one server."""
         ahead = self._tokens_ahead(record, work.rank, now)
         uncached = self.uncached_tokens(record, work)
@@ -162,7 +162,7 @@
             return 1.0
         return state.slowness
 
-    def uncached_tokens(self, record: ServerRecord, work: Work) -> int:
+    def uncached_tokens(self, record: ServerRecord, work: RoutingRequest) -> int:
         """Return the number of prompt tokens not known to be cached at the server."""
         cached = (
             self.prefixes.cached_prefix_blocks(record.announcement.server, work.blocks)
@@ -193,27 +193,29 @@
             if not covered and not item.prefill_done:
                 yield item
 
-    def _memory_wait_ms(self, record: ServerRecord, work: Work, rate: float) -> float:
+    def _memory_wait_ms(self, record: ServerRecord, work: RoutingRequest, rate: float) -> float:
         """Return a penalty for memory that must be freed first."""
         pending = sum(item.memory_tokens for item in self._unreported(record))
         missing = work.memory_tokens + pending - record.announcement.free_tokens
         return max(0.0, missing) / rate * 1000
 
-    def choose(self, work: Work, now: float, rng: random.Random) -> Result[Choice, Failure]:
+    def choose(
+        self, work: RoutingRequest, now: float, rng: random.Random
+    ) -> Result[Choice, Failure]:
         """Return where to send a request, or why it is refused."""
-        serving = self.open_now(self.directory.believed(work.service, now), now)
+        serving = self.not_backing_off(self.directory.routable(work.service, now), now)
         if not serving:
-            return Error(self.nobody(work.service, now, rng))
+            return Error(self.no_server_failure(work.service, now, rng))
         fitting = [r for r in serving if r.announcement.total_tokens >= work.memory_tokens]
         if not fitting:
             return self._choose_group(work, serving, now, rng)
         usable = [r for r in fitting if r.announcement.server not in work.excluded]
         if not usable:
-            return Error(self.nobody(work.service, now, rng))
+            return Error(self.no_server_failure(work.service, now, rng))
         return self._choose_single(work, usable, now, rng)
 
     def _choose_single(
-        self, work: Work, usable: list[ServerRecord], now: float, rng: random.Random
+        self, work: RoutingRequest, usable: list[ServerRecord], now: float, rng: random.Random
     ) -> Result[Choice, Failure]:
         estimates = [(self.estimate_ms(record, work, now), record) for record in usable]
         best = min(estimate for estimate, _ in estimates)
@@ -230,12 +232,12 @@
         return Ok(Choice((record,), estimate, self.uncached_tokens(record, work), backlog))
 
     def _choose_group(
-        self, work: Work, serving: list[ServerRecord], now: float, rng: random.Random
+        self, work: RoutingRequest, serving: list[ServerRecord], now: float, rng: random.Random
     ) -> Result[Choice, Failure]:
         """Return the smallest group of servers with memory for the prompt, most memory first."""
         largest = sorted((r.announcement.total_tokens for r in serving), reverse=True)
         if sum(largest[:MAX_GROUP_SERVERS]) < work.memory_tokens:
-            remembered = self.directory.remembered_capacity(work.service)
+            remembered = self.directory.registered_capacity(work.service)
             if remembered >= work.memory_tokens:
                 message = "the servers that could hold the prompt are cut off"
                 retry = self.retry_after(MAX_RETRY_MS, rng)
@@ -263,24 +265,24 @@
             for record in records
         )
 
-    def open_now(self, records: list[ServerRecord], now: float) -> list[ServerRecord]:
+    def not_backing_off(self, records: list[ServerRecord], now: float) -> list[ServerRecord]:
         """Return the servers without a back-off period in effect for this VM."""
         return [record for record in records if self.back_offs.until(record.start) <= now]
 
-    def nobody(self, service: str, now: float, rng: random.Random) -> Failure:
+    def no_server_failure(self, service: str, now: float, rng: random.Random) -> Failure:
         """Return the refusal if no server can take work, with the earliest time to retry."""
         message = f"no backend server of {service!r} can take work now"
-        known = self.directory.believed(service, now)
+        known = self.directory.routable(service, now)
         wait_ms = min((self.back_offs.until(record.start) - now for record in known), default=0.0)
         return Failure(ResultCode.NO_SERVER, message, self.retry_after(wait_ms, rng))
 
-    def _idle_first_token_ms(self, record: ServerRecord, work: Work) -> float:
+    def _idle_first_token_ms(self, record: ServerRecord, work: RoutingRequest) -> float:
         """Return the time to first token at an idle server."""
         rate = max(MIN_PREFILL_RATE, record.announcement.prefill_rate)
         return self.uncached_tokens(record, work) / rate * 1000
 
     def _deadline_failure(
-        self, excess_ms: float, idle_ms: float, work: Work, rng: random.Random
+        self, excess_ms: float, idle_ms: float, work: RoutingRequest, rng: random.Random
     ) -> Failure:
         """Return a refusal, with a time to retry only if a retry can meet the deadline."""
         message = f"the answer would end {excess_ms:.0f} ms after the deadline"
@@ -294,7 +296,9 @@
         bounded = min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms))
         return math.ceil(bounded * (1 + rng.uniform(0, RETRY_AFTER_JITTER)))
 
-    def dispatched(self, record: ServerRecord, work: Work, uncached: int, now: float) -> Ticket:
+    def dispatched(
+        self, record: ServerRecord, work: RoutingRequest, uncached: int, now: float
+    ) -> DispatchId:
         """Record a dispatch; call this before its first byte is sent."""
         announcement = record.announcement
         state = self._servers.get(announcement.server)
@@ -308,15 +312,15 @@
             now,
             self.estimate_ms(record, work, now) / state.slowness,
         )
-        return Ticket(announcement.server, self._next_ticket)
+        return DispatchId(announcement.server, self._next_ticket)
 
-    def accepted(self, ticket: Ticket, number: int) -> None:
+    def accepted(self, ticket: DispatchId, number: int) -> None:
         """Record the server's sequence number for accepting this dispatch."""
         item = self._find(ticket)
         if item is not None:
             item.accepted_seq = number
 
-    def first_token(self, ticket: Ticket, now: float) -> None:
+    def first_token(self, ticket: DispatchId, now: float) -> None:
         """Record the end of a dispatch's prefill, and update the slowness from its duration."""
         item = self._find(ticket)
         if item is None:
@@ -327,13 +331,13 @@
             measured = min(MAX_SLOWNESS, max(1.0, (now - item.sent_at) / item.estimate_ms))
             state.slowness += SLOWNESS_GAIN * (measured - state.slowness)
 
-    def ended(self, ticket: Ticket) -> None:
+    def ended(self, ticket: DispatchId) -> None:
         """Remove a dispatch that has ended."""
         state = self._servers.get(ticket.server)
         if state is not None:
             state.dispatches.pop(ticket.number, None)
 
-    def _find(self, ticket: Ticket) -> Outstanding | None:
+    def _find(self, ticket: DispatchId) -> Outstanding | None:
         state = self._servers.get(ticket.server)
         return None if state is None else state.dispatches.get(ticket.number)
 
--- a/siskinspoke/coordination/second_tries.py
+++ b/siskinspoke/coordination/second_tries.py
@@ -19,15 +19,15 @@
     """Whether to retry elsewhere now; if not, check again after ``again_ms``."""
 
     now: bool
-    again_ms: float = 0.0
+    recheck_after_ms: float = 0.0
 
 
-def doubt_after_ms(expected_ms: float) -> float:
+def first_check_after_ms(expected_ms: float) -> float:
     """Return the time after sending at which a missing first token is first checked."""
     return FIRST_CHECK_FACTOR * expected_ms
 
 
-def move(left_ms: float, best_ms: float | None, margin_ms: float) -> RetryDecision | None:
+def decide_retry(left_ms: float, best_ms: float | None, margin_ms: float) -> RetryDecision | None:
     """Return whether to retry elsewhere, or None if no retry would be in time.
 
     ``left_ms`` is the time left of the target, ``best_ms`` the expected time to first token at the
@@ -39,4 +39,4 @@
     spare_ms = left_ms - best_ms - margin_ms
     if spare_ms <= RETRY_LEAD_MS:
         return RetryDecision(now=True)
-    return RetryDecision(now=False, again_ms=spare_ms - RETRY_LEAD_MS)
+    return RetryDecision(now=False, recheck_after_ms=spare_ms - RETRY_LEAD_MS)
--- a/siskinspoke/coordination/standing.py
+++ b/siskinspoke/coordination/standing.py
@@ -24,7 +24,7 @@
 LATENCY_TTL_MS = 4_000.0
 
 
-class Trouble(Enum):
+class FailureKind(Enum):
     """How a request failed."""
 
     UNREACHABLE = "unreachable"
@@ -46,7 +46,7 @@
     unreachable: bool = False
 
 
-class Standing:
+class ServerHealth:
     """Request outcomes by server; times are in milliseconds."""
 
     def __init__(self) -> None:
@@ -58,15 +58,15 @@
             record = self._records[server] = _Record()
         return record
 
-    def began(self, server: str) -> None:
+    def request_started(self, server: str) -> None:
         """Count a request that was started at a server."""
         self._record(server).open_requests += 1
 
-    def ended(self, server: str) -> None:
+    def request_ended(self, server: str) -> None:
         """Count a request that has ended, whatever its outcome."""
         self._record(server).open_requests -= 1
 
-    def succeeded(self, server: str, latency_ms: float | None, now: float) -> None:
+    def record_success(self, server: str, latency_ms: float | None, now: float) -> None:
         """Record an answer, with its latency if that is comparable between requests."""
         record = self._record(server)
         record.consecutive_failures = 0
@@ -82,37 +82,37 @@
             record.latency_ms += LATENCY_EWMA_WEIGHT * (latency_ms - record.latency_ms)
         record.latency_at = now
 
-    def failed(self, server: str, trouble: Trouble, now: float) -> None:
+    def record_failure(self, server: str, trouble: FailureKind, now: float) -> None:
         """Record a failure, and eject the server if its kind or the failure rate calls for it."""
         record = self._record(server)
         match trouble:
-            case Trouble.HELD:
+            case FailureKind.HELD:
                 # This VM has not sent it the request.
                 return
-            case Trouble.BUSY:
+            case FailureKind.BUSY:
                 record.ejected_until = max(record.ejected_until, now + BASE_EJECTION_MS / 4)
                 return
-            case Trouble.UNREACHABLE:
+            case FailureKind.UNREACHABLE:
                 # Does not show how the server performs once it can be reached.
                 record.consecutive_failures += 1
                 record.unreachable = True
-            case Trouble.SILENT:
+            case FailureKind.SILENT:
                 record.consecutive_failures += 1
                 record.failure_ewma += FAILURE_EWMA_WEIGHT * (1 - record.failure_ewma)
-            case Trouble.BROKEN | Trouble.ERROR:
+            case FailureKind.BROKEN | FailureKind.ERROR:
                 record.failure_ewma += FAILURE_EWMA_WEIGHT * (1 - record.failure_ewma)
                 record.consecutive_failures += record.failure_ewma >= EJECTION_FAILURE_SHARE
         if record.consecutive_failures:
             ejection_ms = BASE_EJECTION_MS * 2 ** min(record.consecutive_failures - 1, 4)
             record.ejected_until = now + min(MAX_EJECTION_MS, ejection_ms)
 
-    def started(self, server: str) -> None:
+    def reset(self, server: str) -> None:
         """Reset the statistics of a server that has restarted, except for its open requests."""
         record = self._records.get(server)
         if record is not None:
             self._records[server] = _Record(open_requests=record.open_requests)
 
-    def reached(self, server: str) -> bool:
+    def record_connection(self, server: str) -> bool:
         """Record a successful connection; return whether the server was unreachable before.
 
         This ends an ejection only if it was caused by a failed connection, since a server that
@@ -135,7 +135,7 @@
         """Return the servers to which the last connection failed."""
         return [name for name, record in self._records.items() if record.unreachable]
 
-    def is_aside(self, server: str, now: float) -> bool:
+    def is_ejected(self, server: str, now: float) -> bool:
         """Return whether a server is ejected; an unreachable one is until it can be reached."""
         record = self._records.get(server)
         return record is not None and (record.unreachable or record.ejected_until > now)
@@ -145,10 +145,10 @@
         record = self._records.get(server)
         return 0.0 if record is None else record.failure_ewma
 
-    def usable(self, servers: Iterable[str], now: float) -> list[str]:
+    def available(self, servers: Iterable[str], now: float) -> list[str]:
         """Return the servers that are not ejected, readmitting some if too many are."""
         names = list(servers)
-        available = [name for name in names if not self.is_aside(name, now)]
+        available = [name for name in names if not self.is_ejected(name, now)]
         min_available = len(names) - int(len(names) * MAX_EJECTED_SHARE)
         if len(available) >= min_available:
             return available
@@ -156,17 +156,17 @@
         ejected.sort(key=lambda name: self._records[name].ejected_until)
         return available + ejected[: min_available - len(available)]
 
-    def load_ms(self, server: str, now: float, usual_ms: float) -> float:
+    def expected_ms(self, server: str, now: float, default_latency_ms: float) -> float:
         """Return the expected time of a request at a server, from its latency and queue."""
         record = self._records.get(server)
         if record is None:
-            return usual_ms
+            return default_latency_ms
         latency = record.latency_ms
         if latency is None or now - record.latency_at > LATENCY_TTL_MS:
-            latency = usual_ms
+            latency = default_latency_ms
         return latency * (1 + 0.5 * record.open_requests) * (1 + 4 * record.failure_ewma)
 
-    def usual_ms(self, servers: Iterable[str], now: float) -> float:
+    def median_latency_ms(self, servers: Iterable[str], now: float) -> float:
         """Return the median latency of some servers, as a default for those without one."""
         latencies = sorted(
             record.latency_ms
@@ -177,7 +177,7 @@
         )
         return latencies[len(latencies) // 2] if latencies else 50.0
 
-    def forget(self, servers: Iterable[str]) -> None:
+    def prune(self, servers: Iterable[str]) -> None:
         """Drop the records of servers not in ``servers`` unless they have open requests."""
         kept = set(servers)
         for name in list(self._records):
--- a/siskinspoke/coordination/watchers.py
+++ b/siskinspoke/coordination/watchers.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from siskinspoke.conf.settings import EntryVM
 
-SMALL_SITE = 12
+SMALL_SITE_ENTRY_VMS = 12
 LOCAL_WATCHERS = 12
 REMOTE_WATCHERS = 4
 
@@ -40,7 +40,7 @@
 
 @functools.lru_cache(maxsize=4_096)
 def _choose_watchers(server: str, domain: str, entries: tuple[EntryVM, ...]) -> tuple[EntryVM, ...]:
-    if len(entries) <= SMALL_SITE:
+    if len(entries) <= SMALL_SITE_ENTRY_VMS:
         return entries
     ranked = sorted(entries, key=lambda entry: _rendezvous_weight(server, entry.name), reverse=True)
     local = [entry for entry in ranked if entry.failure_domain == domain]
--- a/siskinspoke/coordination/widening.py
+++ b/siskinspoke/coordination/widening.py
@@ -14,7 +14,7 @@
 MAX_OFFER_RATIO = 0.8
 
 
-def is_short(own_place: Place | None, target_ms: float) -> bool:
+def lacks_room(own_place: Place | None, target_ms: float) -> bool:
     """Return whether a prompt should be offered to other cells."""
     return own_place is None or own_place.first_token_ms > MAX_TARGET_SHARE * target_ms
 
--- a/siskinspoke/coordination/witnesses.py
+++ b/siskinspoke/coordination/witnesses.py
@@ -18,8 +18,8 @@
 WITNESS_COUNT = 2
 # If the witnesses are inconclusive, the check is repeated after this time, at most this many times.
 # The crash evidence is then delayed, but not lost.
-ASK_AGAIN_SECONDS = 0.25
-ASK_AGAIN = 4
+RECHECK_SECONDS = 0.25
+MAX_RECHECKS = 4
 
 
 def choose_witnesses(others: Sequence[str], rng: random.Random) -> list[str]:
@@ -45,7 +45,7 @@
     return [others[name] for name in choose_witnesses(sorted(others), rng)]
 
 
-def speaks_for_cut(reached: Sequence[bool]) -> bool:
+def indicates_partition(reached: Sequence[bool]) -> bool:
     """Return whether the domain, rather than the server, is unreachable, given the probe results.
 
     A server that is alone in its domain has no witness, so it counts as crashed.
--- a/siskinspoke/core/codes.py
+++ b/siskinspoke/core/codes.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 
-class Run(Enum):
+class RunStatus(Enum):
     """Whether a request ran, as far as its result tells."""
 
     NOT_RUN = "not_run"
@@ -68,76 +68,96 @@
     CHECK_FAILED = 6003
 
 
-class CodeFacts(NamedTuple):
+class CodeInfo(NamedTuple):
     """The HTTP status, execution state, process exit code and meaning of a result code."""
 
     status: int
-    run: Run
+    run: RunStatus
     exit_code: int
     meaning: str
 
 
-FACTS: dict[ResultCode, CodeFacts] = {
-    ResultCode.OK: CodeFacts(200, Run.RAN, 0, "Done."),
-    ResultCode.NOT_JSON: CodeFacts(400, Run.NOT_RUN, 10, "The body is not a JSON object."),
-    ResultCode.INVALID_FIELD: CodeFacts(400, Run.NOT_RUN, 10, "A field is missing or wrong."),
-    ResultCode.BODY_TOO_LARGE: CodeFacts(413, Run.NOT_RUN, 10, "The body is over the limit."),
-    ResultCode.UNKNOWN_MODEL: CodeFacts(404, Run.NOT_RUN, 10, "No such model or service."),
-    ResultCode.UNAUTHENTICATED: CodeFacts(401, Run.NOT_RUN, 10, "The key is not a customer's."),
-    ResultCode.INVALID_DEADLINE: CodeFacts(400, Run.NOT_RUN, 10, "The deadline is out of range."),
-    ResultCode.KEY_REQUIRED: CodeFacts(
-        400, Run.NOT_RUN, 10, "A non-idempotent request needs an Idempotency-Key."
-    ),
-    ResultCode.INVALID_KEY: CodeFacts(400, Run.NOT_RUN, 10, "The Idempotency-Key is malformed."),
-    ResultCode.KEY_EXPIRED: CodeFacts(410, Run.UNKNOWN, 10, "The Idempotency-Key has expired."),
-    ResultCode.BODY_TIMEOUT: CodeFacts(408, Run.NOT_RUN, 10, "The body did not arrive in time."),
-    ResultCode.PROMPT_TOO_LONG: CodeFacts(
-        422, Run.NOT_RUN, 10, "No announced engine or group can ever hold the prompt."
-    ),
-    ResultCode.UNKNOWN_STREAM: CodeFacts(404, Run.UNKNOWN, 10, "No such stream of this customer."),
-    ResultCode.UNKNOWN_PATH: CodeFacts(404, Run.NOT_RUN, 10, "No such path or method."),
-    ResultCode.OVERLOADED: CodeFacts(503, Run.NOT_RUN, 20, "The deadline cannot be met now."),
-    ResultCode.CUSTOMER_LIMIT: CodeFacts(429, Run.NOT_RUN, 20, "Over the customer's fair share."),
-    ResultCode.NO_SERVER: CodeFacts(503, Run.NOT_RUN, 20, "No backend server can take it now."),
-    ResultCode.DRAINING: CodeFacts(503, Run.NOT_RUN, 20, "This VM is shutting down."),
-    ResultCode.CLAIMS_UNAVAILABLE: CodeFacts(
-        503, Run.UNKNOWN, 20, "No quorum to claim a non-idempotent request."
-    ),
-    ResultCode.TOO_MANY_STREAMS: CodeFacts(503, Run.NOT_RUN, 20, "This VM is full."),
-    ResultCode.NOT_REACHABLE_NOW: CodeFacts(
-        503, Run.NOT_RUN, 20, "The servers that could hold it are cut off."
-    ),
-    ResultCode.QUARANTINED: CodeFacts(
-        503, Run.NOT_RUN, 20, "Servers crash under this request, so it is not sent."
-    ),
-    ResultCode.DEADLINE_PASSED: CodeFacts(504, Run.UNKNOWN, 30, "The deadline passed."),
-    ResultCode.FATE_UNKNOWN: CodeFacts(502, Run.UNKNOWN, 30, "It may have run."),
-    ResultCode.IN_PROGRESS: CodeFacts(409, Run.RAN, 30, "The first attempt still runs."),
-    ResultCode.ENGINE_LOST: CodeFacts(502, Run.RAN, 30, "The engine was lost in mid-answer."),
-    ResultCode.SLOW_READER: CodeFacts(499, Run.RAN, 30, "The caller read too slowly."),
-    ResultCode.DISPATCH_FAILED: CodeFacts(502, Run.NOT_RUN, 30, "No server took the request."),
-    ResultCode.SERVER_ERROR: CodeFacts(502, Run.RAN, 30, "The backend server gave an error."),
-    ResultCode.ALREADY_RAN: CodeFacts(409, Run.RAN, 30, "It ran before; its answer is not kept."),
-    ResultCode.CALLER_GONE: CodeFacts(499, Run.UNKNOWN, 30, "The caller hung up."),
-    ResultCode.INTERNAL: CodeFacts(500, Run.UNKNOWN, 30, "A fault of this VM."),
-    ResultCode.VERSION_CONFLICT: CodeFacts(409, Run.NOT_RUN, 40, "Another change came first."),
-    ResultCode.NOT_LEADER: CodeFacts(421, Run.NOT_RUN, 40, "Ask the leader."),
-    ResultCode.NO_QUORUM: CodeFacts(503, Run.UNKNOWN, 40, "No majority answered in time."),
-    ResultCode.INVALID_SETTINGS: CodeFacts(422, Run.NOT_RUN, 40, "The settings have faults."),
-    ResultCode.ORDER_REUSED: CodeFacts(
-        409, Run.NOT_RUN, 40, "The order id was used for another change."
-    ),
-    ResultCode.NOT_IN_FORCE: CodeFacts(
-        504, Run.RAN, 41, "Accepted, but some VMs have not confirmed it."
-    ),
-    ResultCode.CLAIM_CONFLICT: CodeFacts(409, Run.NOT_RUN, 40, "The claim is another attempt's."),
-    ResultCode.JOURNAL_CORRUPT: CodeFacts(500, Run.UNKNOWN, 50, "The journal is damaged."),
-    ResultCode.DISK_FULL: CodeFacts(500, Run.UNKNOWN, 50, "The disk is full."),
-    ResultCode.FOREIGN_FOLDER: CodeFacts(500, Run.NOT_RUN, 50, "The folder is another VM's."),
-    ResultCode.DISK_FAILED: CodeFacts(500, Run.UNKNOWN, 50, "The disk refused a write."),
-    ResultCode.USAGE: CodeFacts(400, Run.NOT_RUN, 2, "The command line is wrong."),
-    ResultCode.UNREACHABLE: CodeFacts(503, Run.UNKNOWN, 60, "No process answered."),
-    ResultCode.CHECK_FAILED: CodeFacts(500, Run.RAN, 61, "A check did not hold."),
+CODE_INFO: dict[ResultCode, CodeInfo] = {
+    ResultCode.OK: CodeInfo(200, RunStatus.RAN, 0, "Done."),
+    ResultCode.NOT_JSON: CodeInfo(400, RunStatus.NOT_RUN, 10, "The body is not a JSON object."),
+    ResultCode.INVALID_FIELD: CodeInfo(400, RunStatus.NOT_RUN, 10, "A field is missing or wrong."),
+    ResultCode.BODY_TOO_LARGE: CodeInfo(413, RunStatus.NOT_RUN, 10, "The body is over the limit."),
+    ResultCode.UNKNOWN_MODEL: CodeInfo(404, RunStatus.NOT_RUN, 10, "No such model or service."),
+    ResultCode.UNAUTHENTICATED: CodeInfo(
+        401, RunStatus.NOT_RUN, 10, "The key is not a customer's."
+    ),
+    ResultCode.INVALID_DEADLINE: CodeInfo(
+        400, RunStatus.NOT_RUN, 10, "The deadline is out of range."
+    ),
+    ResultCode.KEY_REQUIRED: CodeInfo(
+        400, RunStatus.NOT_RUN, 10, "A non-idempotent request needs an Idempotency-Key."
+    ),
+    ResultCode.INVALID_KEY: CodeInfo(
+        400, RunStatus.NOT_RUN, 10, "The Idempotency-Key is malformed."
+    ),
+    ResultCode.KEY_EXPIRED: CodeInfo(
+        410, RunStatus.UNKNOWN, 10, "The Idempotency-Key has expired."
+    ),
+    ResultCode.BODY_TIMEOUT: CodeInfo(
+        408, RunStatus.NOT_RUN, 10, "The body did not arrive in time."
+    ),
+    ResultCode.PROMPT_TOO_LONG: CodeInfo(
+        422, RunStatus.NOT_RUN, 10, "No announced engine or group can ever hold the prompt."
+    ),
+    ResultCode.UNKNOWN_STREAM: CodeInfo(
+        404, RunStatus.UNKNOWN, 10, "No such stream of this customer."
+    ),
+    ResultCode.UNKNOWN_PATH: CodeInfo(404, RunStatus.NOT_RUN, 10, "No such path or method."),
+    ResultCode.OVERLOADED: CodeInfo(503, RunStatus.NOT_RUN, 20, "The deadline cannot be met now."),
+    ResultCode.CUSTOMER_LIMIT: CodeInfo(
+        429, RunStatus.NOT_RUN, 20, "Over the customer's fair share."
+    ),
+    ResultCode.NO_SERVER: CodeInfo(
+        503, RunStatus.NOT_RUN, 20, "No backend server can take it now."
+    ),
+    ResultCode.DRAINING: CodeInfo(503, RunStatus.NOT_RUN, 20, "This VM is shutting down."),
+    ResultCode.CLAIMS_UNAVAILABLE: CodeInfo(
+        503, RunStatus.UNKNOWN, 20, "No quorum to claim a non-idempotent request."
+    ),
+    ResultCode.TOO_MANY_STREAMS: CodeInfo(503, RunStatus.NOT_RUN, 20, "This VM is full."),
+    ResultCode.NOT_REACHABLE_NOW: CodeInfo(
+        503, RunStatus.NOT_RUN, 20, "The servers that could hold it are cut off."
+    ),
+    ResultCode.QUARANTINED: CodeInfo(
+        503, RunStatus.NOT_RUN, 20, "Servers crash under this request, so it is not sent."
+    ),
+    ResultCode.DEADLINE_PASSED: CodeInfo(504, RunStatus.UNKNOWN, 30, "The deadline passed."),
+    ResultCode.FATE_UNKNOWN: CodeInfo(502, RunStatus.UNKNOWN, 30, "It may have run."),
+    ResultCode.IN_PROGRESS: CodeInfo(409, RunStatus.RAN, 30, "The first attempt still runs."),
+    ResultCode.ENGINE_LOST: CodeInfo(502, RunStatus.RAN, 30, "The engine was lost in mid-answer."),
+    ResultCode.SLOW_READER: CodeInfo(499, RunStatus.RAN, 30, "The caller read too slowly."),
+    ResultCode.DISPATCH_FAILED: CodeInfo(502, RunStatus.NOT_RUN, 30, "No server took the request."),
+    ResultCode.SERVER_ERROR: CodeInfo(502, RunStatus.RAN, 30, "The backend server gave an error."),
+    ResultCode.ALREADY_RAN: CodeInfo(
+        409, RunStatus.RAN, 30, "It ran before; its answer is not kept."
+    ),
+    ResultCode.CALLER_GONE: CodeInfo(499, RunStatus.UNKNOWN, 30, "The caller hung up."),
+    ResultCode.INTERNAL: CodeInfo(500, RunStatus.UNKNOWN, 30, "A fault of this VM."),
+    ResultCode.VERSION_CONFLICT: CodeInfo(409, RunStatus.NOT_RUN, 40, "Another change came first."),
+    ResultCode.NOT_LEADER: CodeInfo(421, RunStatus.NOT_RUN, 40, "Ask the leader."),
+    ResultCode.NO_QUORUM: CodeInfo(503, RunStatus.UNKNOWN, 40, "No majority answered in time."),
+    ResultCode.INVALID_SETTINGS: CodeInfo(422, RunStatus.NOT_RUN, 40, "The settings have faults."),
+    ResultCode.ORDER_REUSED: CodeInfo(
+        409, RunStatus.NOT_RUN, 40, "The order id was used for another change."
+    ),
+    ResultCode.NOT_IN_FORCE: CodeInfo(
+        504, RunStatus.RAN, 41, "Accepted, but some VMs have not confirmed it."
+    ),
+    ResultCode.CLAIM_CONFLICT: CodeInfo(
+        409, RunStatus.NOT_RUN, 40, "The claim is another attempt's."
+    ),
+    ResultCode.JOURNAL_CORRUPT: CodeInfo(500, RunStatus.UNKNOWN, 50, "The journal is damaged."),
+    ResultCode.DISK_FULL: CodeInfo(500, RunStatus.UNKNOWN, 50, "The disk is full."),
+    ResultCode.FOREIGN_FOLDER: CodeInfo(500, RunStatus.NOT_RUN, 50, "The folder is another VM's."),
+    ResultCode.DISK_FAILED: CodeInfo(500, RunStatus.UNKNOWN, 50, "The disk refused a write."),
+    ResultCode.USAGE: CodeInfo(400, RunStatus.NOT_RUN, 2, "The command line is wrong."),
+    ResultCode.UNREACHABLE: CodeInfo(503, RunStatus.UNKNOWN, 60, "No process answered."),
+    ResultCode.CHECK_FAILED: CodeInfo(500, RunStatus.RAN, 61, "A check did not hold."),
 }
 
 
@@ -151,12 +171,12 @@
     code: ResultCode
     message: str
     retry_after_ms: int | None = None
-    run: Run | None = None
+    run: RunStatus | None = None
 
     @property
-    def fate(self) -> Run:
+    def run_status(self) -> RunStatus:
         """Return whether the request ran, as far as is known."""
-        return self.run or FACTS[self.code].run
+        return self.run or CODE_INFO[self.code].run
 
     def to_document(self) -> dict:
         """Return the JSON body sent to the caller."""
@@ -165,7 +185,7 @@
                 "code": int(self.code),
                 "name": self.code.name,
                 "message": self.message,
-                "run": self.fate.value,
+                "run": self.run_status.value,
                 "retry_after_ms": self.retry_after_ms,
             }
         }
--- a/siskinspoke/core/counters.py
+++ b/siskinspoke/core/counters.py
@@ -43,7 +43,7 @@
             self._sink.gauge(name, value)
 
 
-def counters_for(process: str, statsd_host: str, statsd_port: int) -> Counters:
+def create_counters(process: str, statsd_host: str, statsd_port: int) -> Counters:
     """Return counters that are also sent to statsd if a port is given.
 
     The host must be a numeric address: the statsd client resolves names on a blocking socket, which
--- a/siskinspoke/core/standstill.py
+++ b/siskinspoke/core/standstill.py
@@ -19,7 +19,7 @@
 LATENESS_HALF_LIFE_SECONDS = 2.0
 
 
-class Standstill:
+class StallDetector:
     """The last stall of this process and the lateness of its timers, derived from ticks."""
 
     def __init__(self, now: float):
@@ -40,7 +40,7 @@
         self._lateness = max(late, decayed)
         self._ticked_at = now
 
-    def arrival(self, now: float) -> float:
+    def earliest_arrival(self, now: float) -> float:
         """Return the earliest time at which a request that is read now may have arrived."""
         if now - self._ticked_at - TICK_SECONDS > STALL_SECONDS:
             return self._ticked_at
@@ -49,12 +49,12 @@
         return now
 
     @property
-    def lateness(self) -> float:
+    def timer_lateness(self) -> float:
         """Return the recent maximum lateness of timers, which is never negative."""
         return max(0.0, self._lateness)
 
 
-async def tick_forever(standstill: Standstill) -> None:
+async def tick_forever(standstill: StallDetector) -> None:
     while True:
         standstill.tick(trio.current_time())
         await trio.sleep(TICK_SECONDS)
--- a/siskinspoke/core/supervise.py
+++ b/siskinspoke/core/supervise.py
@@ -12,7 +12,7 @@
 TRACE_LINES = 6
 
 
-def note_fault(log: DecisionLog, counters: Counters, where: str, error: Exception) -> None:
+def log_fault(log: DecisionLog, counters: Counters, where: str, error: Exception) -> None:
     """Log an internal error."""
     counters.count("fault")
     trace = traceback.format_exception(error)
@@ -28,5 +28,5 @@
             await task(*args)
         except Exception as error:
             name = getattr(task, "__qualname__", repr(task))
-            note_fault(log, counters, name, error)
+            log_fault(log, counters, name, error)
         await trio.sleep(RESTART_DELAY_SECONDS)
--- a/siskinspoke/entry/backend.py
+++ b/siskinspoke/entry/backend.py
@@ -229,7 +229,7 @@
         self._counters.count("back_off.asked")
         logger.info("server {} asked for a back-off of {} s", target.server, seconds)
         start = (target.server, target.incarnation)
-        self._back_offs.ask(start, seconds * 1000, time.monotonic() * 1000)
+        self._back_offs.add(start, seconds * 1000, time.monotonic() * 1000)
 
     async def cancel(
         self, target: Target, request: str, attempt: int, unless_began: bool = False
--- a/siskinspoke/entry/calls.py
+++ b/siskinspoke/entry/calls.py
@@ -8,8 +8,8 @@
 from siskinspoke.coordination.crashes import Probation, Quarantined
 from siskinspoke.coordination.deadlines import margin_seconds
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.fingerprints import Subject
-from siskinspoke.core.codes import FACTS, Failure, ResultCode, Run
+from siskinspoke.coordination.fingerprints import RequestIdentity
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode, RunStatus
 from siskinspoke.entry.backend import connection_failed
 from siskinspoke.entry.claiming import (
     AlreadyClaimed,
@@ -61,11 +61,11 @@
         self._deadline = (
             arrived_at
             + timeout_seconds
-            - margin_seconds(timeout_seconds, context.stall_detector.lateness)
+            - margin_seconds(timeout_seconds, context.stall_detector.timer_lateness)
         )
         self._dispatched = False
         self._excluded: set[str] = set()
-        self._identity = Subject(caller.customer, call.service, call.input)
+        self._identity = RequestIdentity(caller.customer, call.service, call.input)
 
     async def run(self) -> dict | Failure:
         """Return the answer of the service or the final failure."""
@@ -78,20 +78,20 @@
                     failure = count_quarantine_refusal(self._context, verdict)
                     return await verify_not_run(self._context, self._subject(), failure)
                 case Probation():
-                    self._context.crashes.probe(self._identity, now_ms())
+                    self._context.crashes.record_probe(self._identity, now_ms())
             if self._call.key is not None:
                 return await self._run_claimed()
             return await self._run_plain()
         # A request with an idempotency key may be the resend of one that ran at another VM.
         unknown = self._dispatched or self._call.key is not None
-        run = Run.UNKNOWN if unknown else Run.NOT_RUN
+        run = RunStatus.UNKNOWN if unknown else RunStatus.NOT_RUN
         return Failure(ResultCode.DEADLINE_PASSED, "the deadline passed", None, run)
 
     def _choose(self) -> ServerRecord | None:
         """Return the least busy server that has not failed this request; ties go to local ones."""
         now = now_ms()
-        serving = self._context.directory.serving(self._call.service, now)
-        serving = self._context.router.open_now(serving, now)
+        serving = self._context.directory.live_servers_of(self._call.service, now)
+        serving = self._context.router.not_backing_off(serving, now)
         usable = [r for r in serving if r.announcement.server not in self._excluded]
         if not usable:
             return None
@@ -104,7 +104,7 @@
 
     def _no_server_failure(self) -> Failure:
         context = self._context
-        failure = context.router.nobody(self._call.service, now_ms(), context.rng)
+        failure = context.router.no_server_failure(self._call.service, now_ms(), context.rng)
         return failure._replace(retry_after_ms=max(RETRY_LATER_MS, failure.retry_after_ms))
 
     async def _send(self, target: Target, attempt: int) -> dict:
@@ -117,7 +117,7 @@
         }
         crashes = self._context.crashes
         start = (target.server, target.incarnation)
-        run, end = crashes.began(self._identity, [start], now_ms()), RunEnd.BROKE
+        run, end = crashes.start_run(self._identity, [start], now_ms()), RunEnd.BROKE
         try:
             self._dispatched = True
             response = await self._context.backend.call(target, body)
@@ -129,7 +129,7 @@
                 raise _NotBegun from error
             raise
         finally:
-            crashes.ended(run, end, now_ms())
+            crashes.end_run(run, end, now_ms())
         if response.status_code == 409:
             self._dispatched = False
             raise _NotBegun
@@ -163,11 +163,11 @@
                 if isinstance(await wait_for_verdict(context, self._identity), Quarantined):
                     reason = "this request may be crashing servers"
                     break
-            if not context.retries.take():
+            if not context.retries.spend():
                 context.counters.count("retry.budget_spent")
                 break
             context.counters.count("retried.call")
-        run = Run.UNKNOWN if self._dispatched else Run.NOT_RUN
+        run = RunStatus.UNKNOWN if self._dispatched else RunStatus.NOT_RUN
         return Failure(ResultCode.DISPATCH_FAILED, reason, RETRY_LATER_MS, run)
 
     async def _check_for_crash(self, target: Target) -> None:
@@ -177,7 +177,7 @@
 
     def _exclude_unreachable(self, target: Target) -> None:
         self._excluded.add(target.server)
-        self._context.directory.suspect(target.server, target.incarnation, now_ms())
+        self._context.directory.suspend(target.server, target.incarnation, now_ms())
 
     async def _run_claimed(self) -> dict | Failure:
         """Call a service at most once for this key, also when the request is resent."""
@@ -197,7 +197,10 @@
             if answer is not None:
                 return answer
         return Failure(
-            ResultCode.DISPATCH_FAILED, "no server started an attempt", RETRY_LATER_MS, Run.NOT_RUN
+            ResultCode.DISPATCH_FAILED,
+            "no server started an attempt",
+            RETRY_LATER_MS,
+            RunStatus.NOT_RUN,
         )
 
     async def _answer_without_server(self) -> dict | Failure:
@@ -205,7 +208,7 @@
         context = self._context
         found = await lookup(context, self._subject())
         if found.is_error():
-            return self._no_server_failure()._replace(run=Run.UNKNOWN)
+            return self._no_server_failure()._replace(run=RunStatus.UNKNOWN)
         if found.ok.code == ResultCode.OK:
             return self._no_server_failure()
         return await self._answer_from_claim(found.ok) or self._no_server_failure()
@@ -259,7 +262,7 @@
                 context.counters.count("claim.freed")
                 return None
             case "running":
-                message = FACTS[ResultCode.IN_PROGRESS].meaning
+                message = CODE_INFO[ResultCode.IN_PROGRESS].meaning
                 return Failure(ResultCode.IN_PROGRESS, message, RETRY_LATER_MS)
             case "finished":
                 return await self._settle_finished(claim_answer)
--- a/siskinspoke/entry/claiming.py
+++ b/siskinspoke/entry/claiming.py
@@ -4,7 +4,7 @@
 
 from expression import Error, Ok, Result
 
-from siskinspoke.core.codes import Failure, ResultCode, Run
+from siskinspoke.core.codes import Failure, ResultCode, RunStatus
 from siskinspoke.entry.context import EntryContext
 from siskinspoke.entry.requests import IdempotencyKey
 from siskinspoke.protocol.claims import (
@@ -83,17 +83,17 @@
     The request may be a resend whose first attempt runs at another VM, while this VM, which does
     not know about it, refuses the resend for a local reason.
     """
-    if failure.fate is not Run.NOT_RUN:
+    if failure.run_status is not RunStatus.NOT_RUN:
         return failure
     found = await lookup(context, name)
     if found.is_error():
         message = f"{failure.message}; an earlier attempt with this key may have run"
-        return failure._replace(message=message, run=Run.UNKNOWN)
+        return failure._replace(message=message, run=RunStatus.UNKNOWN)
     if found.ok.code == ResultCode.OK:
         return failure
     message = f"{failure.message}; an earlier attempt holds this key"
     ran = found.ok.code == ResultCode.ALREADY_RAN
-    return failure._replace(message=message, run=Run.RAN if ran else Run.UNKNOWN)
+    return failure._replace(message=message, run=RunStatus.RAN if ran else RunStatus.UNKNOWN)
 
 
 async def settle_ran(
--- a/siskinspoke/entry/completion_attempts.py
+++ b/siskinspoke/entry/completion_attempts.py
@@ -5,11 +5,11 @@
 
 import trio
 
-from siskinspoke.coordination.crash_watch import Run, RunEnd
+from siskinspoke.coordination.crash_watch import OpenRun, RunEnd
 from siskinspoke.coordination.deadlines import margin_seconds
-from siskinspoke.coordination.fingerprints import Subject
-from siskinspoke.coordination.left_out import LeftOut
-from siskinspoke.coordination.routing import Choice, Ticket, Work, length_class
+from siskinspoke.coordination.fingerprints import RequestIdentity
+from siskinspoke.coordination.left_out import ExcludedServers
+from siskinspoke.coordination.routing import Choice, DispatchId, RoutingRequest, length_class
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.entry import groups
 from siskinspoke.entry.backend import (
@@ -59,7 +59,7 @@
     running_target: Target | None = None
     dispatched: bool = False
     first_token_at: float | None = None
-    excluded: LeftOut = field(default_factory=LeftOut)
+    excluded: ExcludedServers = field(default_factory=ExcludedServers)
     caller_gone: bool = False
 
 
@@ -80,7 +80,7 @@
         self.failure: Failure | None = None
         self.token: StreamToken | None = None
         self._context = context
-        timer_lateness = context.stall_detector.lateness
+        timer_lateness = context.stall_detector.timer_lateness
         self._deadline = deadline - margin_seconds(completion.timeout_ms / 1000, timer_lateness)
         self.scope = trio.CancelScope(deadline=self._deadline)
         self._limits = context.holder.current.configuration.limits
@@ -100,14 +100,14 @@
         return self._progress.offset
 
     @cached_property
-    def _identity(self) -> Subject:
+    def _identity(self) -> RequestIdentity:
         """Return the identity by which repeats of the request are recognized."""
         target = f"{self.completion.service}/{self.completion.max_tokens}"
-        return Subject(self.caller.customer, target, self.completion.prompt)
+        return RequestIdentity(self.caller.customer, target, self.completion.prompt)
 
-    def _routing_request(self) -> Work:
+    def _routing_request(self) -> RoutingRequest:
         limits = self._limits
-        return Work(
+        return RoutingRequest(
             self.completion.service,
             self._prompt_tokens,
             self.completion.max_tokens - self._progress.offset,
@@ -115,7 +115,7 @@
             self.caller.priority,
             self._prefix_blocks,
             (self._deadline - trio.current_time()) * 1000,
-            frozenset(self._progress.excluded.names(self._context.directory, now_ms())),
+            frozenset(self._progress.excluded.current(self._context.directory, now_ms())),
         )
 
     def _dispatch_failure(self, message: str) -> Failure:
@@ -150,18 +150,18 @@
             end = await self._dispatch(target, body, ticket)
         finally:
             context.router.ended(ticket)
-            context.crashes.ended(run, run_end(end), now_ms())
+            context.crashes.end_run(run, run_end(end), now_ms())
         if isinstance(end, Completed):
             context.router.prefixes.stored(target.server, self._prefix_blocks)
         return end
 
-    def _start_run(self, *targets: Target) -> Run:
+    def _start_run(self, *targets: Target) -> OpenRun:
         """Record an attempt, so that a crash can be attributed to the requests open at a server."""
         starts = [(target.server, target.incarnation) for target in targets]
-        return self._context.crashes.began(self._identity, starts, now_ms())
+        return self._context.crashes.start_run(self._identity, starts, now_ms())
 
     async def _dispatch(
-        self, target: Target, body: GenerateRequest, ticket: Ticket | None
+        self, target: Target, body: GenerateRequest, ticket: DispatchId | None
     ) -> AttemptEnd:
         """Send an attempt, marked as dispatched before its first byte leaves.
 
@@ -216,7 +216,7 @@
         return await self._stream(target, "/v1/resume", body, None)
 
     async def _stream(
-        self, target: Target, path: str, body: dict, ticket: Ticket | None
+        self, target: Target, path: str, body: dict, ticket: DispatchId | None
     ) -> AttemptEnd:
         context, progress = self._context, self._progress
         assembler = Assembler(
@@ -242,7 +242,7 @@
             single_use,
         )
 
-    async def _deliver(self, pieces: list[Piece], ticket: Ticket | None) -> None:
+    async def _deliver(self, pieces: list[Piece], ticket: DispatchId | None) -> None:
         """Put pieces into the outbox; a slow caller blocks only its own request.
 
         Pieces count as delivered only after the send.  A VM that resumes after a freeze may read
--- a/siskinspoke/entry/completions.py
+++ b/siskinspoke/entry/completions.py
@@ -9,8 +9,7 @@
 from siskinspoke.coordination import fairness
 from siskinspoke.coordination.crashes import Probation, Quarantined
 from siskinspoke.coordination.routing import Choice
-from siskinspoke.core.codes import Failure, ResultCode
-from siskinspoke.core.codes import Run as RunStatus
+from siskinspoke.core.codes import Failure, ResultCode, RunStatus
 from siskinspoke.entry import groups
 from siskinspoke.entry.backend import AttemptEnd, Completed, Lost, NotBegun, Unknown
 from siskinspoke.entry.claiming import (
@@ -62,7 +61,7 @@
             for name, customer in context.holder.current.configuration.customers.items()
         }
         ratio = context.shares.ratio(self.caller.customer, weights, now_ms())
-        excess = chosen.ok.backlog_ms - fairness.patience_ms(ratio, self._limits.backlog_ms)
+        excess = chosen.ok.backlog_ms - fairness.max_backlog_ms(ratio, self._limits.backlog_ms)
         if excess > 0:
             return Error(self._overload_failure(ratio, excess))
         tokens = fairness.work_tokens(chosen.ok.uncached_tokens, routing_request.max_tokens)
@@ -110,7 +109,7 @@
         """Log a request that ends late because the process stalled or its timers fire late."""
         over_ms = round((trio.current_time() - self._deadline) * 1000)
         if over_ms >= MIN_LOGGED_OVERRUN_MS:
-            late_ms = round(self._context.stall_detector.lateness * 1000)
+            late_ms = round(self._context.stall_detector.timer_lateness * 1000)
             logger.info(
                 "request {} ends {} ms late, timers {} ms", self.request_id, over_ms, late_ms
             )
@@ -157,7 +156,7 @@
         if isinstance(verdict, Quarantined):
             return count_quarantine_refusal(self._context, verdict)._replace(run=self._run_status())
         if isinstance(verdict, Probation):
-            self._context.crashes.probe(self._identity, now_ms())
+            self._context.crashes.record_probe(self._identity, now_ms())
         if len(choice.servers) > 1:
             return await self._serve_by_group()
         if self.completion.key is not None:
@@ -179,17 +178,17 @@
                     return None
                 case NotBegun(reason=reason, reached=reached):
                     if not reached:
-                        context.directory.suspect(target.server, target.incarnation, now_ms())
+                        context.directory.suspend(target.server, target.incarnation, now_ms())
                 case Lost(reason=reason):
                     # Resuming failed as well.  A dead server behind a middlebox that still
                     # accepts connections fails every request this way until its lease expires.
-                    context.directory.suspect(target.server, target.incarnation, now_ms())
+                    context.directory.suspend(target.server, target.incarnation, now_ms())
                     self._clean_up()
                 case Unknown():
                     reason = "the server does not know the attempt"
                     self._clean_up()
             progress.running_target = None
-            progress.excluded.put_off(target.server, now_ms())
+            progress.excluded.exclude_temporarily(target.server, now_ms())
             if progress.attempt == MAX_ATTEMPTS:
                 break
             if isinstance(await wait_for_verdict(context, self._identity), Quarantined):
@@ -215,7 +214,7 @@
             chosen = context.router.choose(self._routing_request(), now_ms(), context.rng)
             if chosen.is_error():
                 message = chosen.error.message
-            elif context.retries.take():
+            elif context.retries.spend():
                 return chosen.ok
             else:
                 context.counters.count("retry.budget_spent")
@@ -270,7 +269,7 @@
         try:
             end = await self._dispatch(target, body, None)
         finally:
-            context.crashes.ended(run, run_end(end), now_ms())
+            context.crashes.end_run(run, run_end(end), now_ms())
         if self.completion.key is not None:
             return self._final_failure(await self._settle(end, target))
         end = await self._resume_while_alive(end, target)
@@ -341,8 +340,8 @@
             await settle_ran(context, name, progress.attempt, 200, "")
             return RequestEnded(None)
         if isinstance(end, NotBegun) and not end.reached:
-            context.directory.suspect(target.server, target.incarnation, now_ms())
-            progress.excluded.put_off(target.server, now_ms())
+            context.directory.suspend(target.server, target.incarnation, now_ms())
+            progress.excluded.exclude_temporarily(target.server, now_ms())
         never_began = isinstance(end, NotBegun) or await confirm_never_began(
             context, target, self.request_id, progress.attempt
         )
--- a/siskinspoke/entry/context.py
+++ b/siskinspoke/entry/context.py
@@ -17,7 +17,7 @@
 from siskinspoke.coordination.routing import Router
 from siskinspoke.core.codes import Failure
 from siskinspoke.core.counters import Counters
-from siskinspoke.core.standstill import Standstill
+from siskinspoke.core.standstill import StallDetector
 from siskinspoke.entry.backend import Backend
 from siskinspoke.entry.control_client import ControlClient
 from siskinspoke.entry.janitor import Janitor
@@ -50,7 +50,7 @@
     crash_news: trio.MemoryReceiveChannel[CrashNews]
     rng: random.Random
     nursery: trio.Nursery
-    stall_detector: Standstill
+    stall_detector: StallDetector
     open_requests: int = 0
     draining: bool = False
     drain_begun: trio.Event = field(default_factory=trio.Event)
@@ -90,8 +90,8 @@
         record = self.directory.latest(target.server)
         service = record.announcement.service if record is not None else ""
         start, now = (target.server, target.incarnation), now_ms()
-        servers = len(self.directory.believed(service, now))
-        self.crashes.started_anew(start, service, servers, now)
+        servers = len(self.directory.routable(service, now))
+        self.crashes.record_restart(start, service, servers, now)
 
     def request_opened(self) -> None:
         """Increment the number of open requests."""
--- a/siskinspoke/entry/crashes.py
+++ b/siskinspoke/entry/crashes.py
@@ -8,9 +8,9 @@
 
 from siskinspoke.conf.settings import EntryVM
 from siskinspoke.coordination.crashes import Quarantined, Undecided, Verdict
-from siskinspoke.coordination.fingerprints import Subject
+from siskinspoke.coordination.fingerprints import RequestIdentity
 from siskinspoke.coordination.watchers import rendezvous_order
-from siskinspoke.coordination.witnesses import speaks_for_cut, witnesses_of
+from siskinspoke.coordination.witnesses import indicates_partition, witnesses_of
 from siskinspoke.core.codes import Failure
 from siskinspoke.entry.context import EntryContext, now_ms, target_of
 from siskinspoke.protocol.claims import Target
@@ -31,7 +31,7 @@
         logger.info("{} {}", event, fields)
 
 
-async def wait_for_verdict(context: EntryContext, identity: Subject) -> Verdict:
+async def wait_for_verdict(context: EntryContext, identity: RequestIdentity) -> Verdict:
     """Wait until the quarantine verdict on a request is decided and return it."""
     while True:
         verdict = context.crashes.judge(identity, now_ms())
@@ -51,7 +51,7 @@
     live, has_crashed = context.directory.live(now_ms()), context.crashes.has_crashed
     witnesses = witnesses_of(target.server, domain, live, has_crashed, context.rng)
     reached = [not await context.backend.refuses_connections(target_of(item)) for item in witnesses]
-    if speaks_for_cut(reached):
+    if indicates_partition(reached):
         context.counters.count("crash.doubted")
         logger.info("domain.refuses {}", {"domain": domain, "server": target.server})
         return
@@ -123,11 +123,11 @@
     async def _prune_forever(self) -> None:
         while True:
             await trio.sleep(PRUNE_INTERVAL_SECONDS)
-            self._context.crashes.forget(now_ms())
+            self._context.crashes.prune(now_ms())
 
     async def receive(self, spread: CrashSpread) -> None:
         """Apply news of another VM; forward news from other failure domains locally."""
-        unseen = self._context.crashes.hear(spread.news, now_ms())
+        unseen = self._context.crashes.apply(spread.news, now_ms())
         if any(unseen) and spread.domain != self._local_domain:
             await self._send(unseen, self._local_entries)
 
@@ -136,5 +136,5 @@
         entries = self._context.settings.entries
         if not 0 <= request.place < len(entries):
             return
-        for news in self._context.crashes.all_news(now_ms()):
+        for news in self._context.crashes.all_reports(now_ms()):
             await self._send(news, [entries[request.place]])
--- a/siskinspoke/entry/daemon.py
+++ b/siskinspoke/entry/daemon.py
@@ -17,9 +17,9 @@
 from siskinspoke.coordination.prefixes import PrefixIndex
 from siskinspoke.coordination.retries import RetryBudget
 from siskinspoke.coordination.routing import Router
-from siskinspoke.coordination.watchers import SMALL_SITE
-from siskinspoke.core.counters import Counters, counters_for
-from siskinspoke.core.standstill import Standstill, tick_forever
+from siskinspoke.coordination.watchers import SMALL_SITE_ENTRY_VMS
+from siskinspoke.core.counters import Counters, create_counters
+from siskinspoke.core.standstill import StallDetector, tick_forever
 from siskinspoke.entry.backend import Backend
 from siskinspoke.entry.context import EntryContext
 from siskinspoke.entry.control_client import ControlClient
@@ -85,14 +85,14 @@
         crash_news=crash_news,
         rng=random.Random(),
         nursery=nursery,
-        stall_detector=Standstill(trio.current_time()),
+        stall_detector=StallDetector(trio.current_time()),
     )
 
 
 async def run_entry(settings: Settings, name: str) -> None:
     """Run the entry daemon of that name until SIGTERM, then drain."""
     vm = settings.entry(name)
-    counters = counters_for(name, settings.statsd_host, settings.statsd_port)
+    counters = create_counters(name, settings.statsd_host, settings.statsd_port)
     shutdown = trio.Event()
     async with AsyncExitStack() as stack:
         backend = await stack.enter_async_context(Backend(counters, vm.host))
@@ -117,7 +117,7 @@
             backend.watch_forever,
             partial(tick_forever, context.stall_detector),
         ]
-        if len(settings.entries) <= SMALL_SITE:
+        if len(settings.entries) <= SMALL_SITE_ENTRY_VMS:
             # A busy engine produces about 4 KB of cache events a second.  Polling them is too
             # expensive in a large fleet, where the daemon relies on its own dispatches alone.
             tasks.append(CacheFollower(context).run)
--- a/siskinspoke/entry/followers.py
+++ b/siskinspoke/entry/followers.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from siskinspoke.coordination.configuration import SOURCE_CONTROL, SOURCE_DISK
-from siskinspoke.coordination.directory import Heard, ServerRecord
+from siskinspoke.coordination.directory import AnnouncementEffect, ServerRecord
 from siskinspoke.coordination.watchers import watchers
 from siskinspoke.entry.context import EntryContext, now_ms, target_of
 from siskinspoke.entry.crashes import CrashReporter
@@ -104,11 +104,11 @@
         now = now_ms()
         directory = self._context.directory
         previous = directory.latest(directory.name_of(load.key))
-        effect = directory.hear_load(load, now)
+        effect = directory.apply_load(load, now)
         self._check_for_restart(previous, load.incarnation)
         self._record_effect(effect, directory.name_of(load.key), load.incarnation)
         if (
-            effect is Heard.UNKNOWN
+            effect is AnnouncementEffect.UNKNOWN
             and now - self._requested_at.get(load.key, 0.0) > WANT_INTERVAL_MS
         ):
             self._requested_at[load.key] = now
@@ -116,7 +116,7 @@
 
     def _apply(self, announcement: Announcement) -> None:
         previous = self._context.directory.latest(announcement.server)
-        effect = self._context.directory.hear(announcement, now_ms())
+        effect = self._context.directory.apply(announcement, now_ms())
         self._check_for_restart(previous, announcement.incarnation)
         self._record_effect(effect, announcement.server, announcement.incarnation)
 
@@ -127,23 +127,23 @@
         if previous.announcement.incarnation < incarnation:
             self._context.record_crash(target_of(previous))
 
-    def _record_effect(self, effect: Heard, server: str, incarnation: int) -> None:
+    def _record_effect(self, effect: AnnouncementEffect, server: str, incarnation: int) -> None:
         """Count the effect of an announcement; log servers that join or leave."""
         context = self._context
         context.counters.count(f"announcement.{effect.value}")
-        if effect in (Heard.JOINED, Heard.LEFT):
+        if effect in (AnnouncementEffect.JOINED, AnnouncementEffect.LEFT):
             logger.info("server {}: {} incarnation {}", effect.value, server, incarnation)
-        if effect is Heard.JOINED:
+        if effect is AnnouncementEffect.JOINED:
             context.router.prefixes.reset(server)
-        known_servers = [record.announcement.server for record in context.directory.all_known()]
-        context.router.back_offs.forget(known_servers, now_ms())
+        known_servers = [record.announcement.server for record in context.directory.all_records()]
+        context.router.back_offs.prune(known_servers, now_ms())
 
 
 async def prune_forever(context: EntryContext) -> None:
     """Periodically drop the records of servers that are long gone."""
     while True:
         await trio.sleep(PRUNE_INTERVAL_SECONDS)
-        for server in context.directory.forget(now_ms()):
+        for server in context.directory.prune(now_ms()):
             context.router.prefixes.reset(server)
         context.counters.gauge("servers", len(context.directory.live(now_ms())))
 
--- a/siskinspoke/entry/public_app.py
+++ b/siskinspoke/entry/public_app.py
@@ -6,7 +6,7 @@
 from quart import Response, request
 
 from siskinspoke.conf.settings import Limits
-from siskinspoke.core.codes import Failure, ResultCode, Run
+from siskinspoke.core.codes import Failure, ResultCode, RunStatus
 from siskinspoke.entry.answers import answer_job
 from siskinspoke.entry.calls import CallJob
 from siskinspoke.entry.claiming import claim_name, verify_not_run
@@ -88,7 +88,7 @@
 
     @app.post("/v1/completions")
     async def completions() -> Response:
-        arrived_at = context.stall_detector.arrival(trio.current_time())
+        arrived_at = context.stall_detector.earliest_arrival(trio.current_time())
         caller = authenticate_caller()
         if isinstance(caller, Failure):
             return refuse(caller)
@@ -137,14 +137,14 @@
             return refuse(token.error)
         failure = unavailable()
         if failure is not None:
-            return refuse(failure._replace(run=Run.UNKNOWN))
+            return refuse(failure._replace(run=RunStatus.UNKNOWN))
         job = ResumeJob(context, token.ok, offset)
         context.nursery.start_soon(job.run)
         return await answer_job(job, True, context.settings.internal_key)
 
     @app.post("/v1/services/<service>")
     async def services(service: str) -> Response:
-        arrived_at = context.stall_detector.arrival(trio.current_time())
+        arrived_at = context.stall_detector.earliest_arrival(trio.current_time())
         caller = authenticate_caller()
         if isinstance(caller, Failure):
             return refuse(caller)
@@ -172,7 +172,7 @@
             request_id = context.next_request_id()
         answer = await CallJob(context, caller, call, request_id, arrived_at).run()
         if isinstance(answer, Failure):
-            not_run = answer.fate is Run.NOT_RUN
+            not_run = answer.run_status is RunStatus.NOT_RUN
             context.counters.count(
                 f"{'refused' if not_run else 'failed'}.{answer.code.name.lower()}"
             )
--- a/siskinspoke/gateway/attempts.py
+++ b/siskinspoke/gateway/attempts.py
@@ -9,7 +9,7 @@
 import trio
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.liveness import OVERDUE_AGAIN_MS
+from siskinspoke.coordination.liveness import OVERDUE_PROBE_INTERVAL_MS
 from siskinspoke.gateway.permits import Permit
 
 RESTARTED = "the server has started anew"
@@ -162,7 +162,7 @@
         for item in self._attempts:
             if item.end_reason or not item.is_overdue(now, patience_factor):
                 continue
-            item.expect_answer_within(OVERDUE_AGAIN_MS, now)
+            item.expect_answer_within(OVERDUE_PROBE_INTERVAL_MS, now)
             found |= {server.start: server for server in item.servers}
         return list(found.values())
 
@@ -184,7 +184,7 @@
             if item.is_streaming and item.depends_on_any(servers):
                 item.recheck_at = min(item.recheck_at, now)
 
-    def started(self, server: str, incarnation: int) -> int:
+    def end_restarted(self, server: str, incarnation: int) -> int:
         """End the attempts at earlier incarnations of a server; return how many there were."""
         before = self._active()
         for item in before:
--- a/siskinspoke/gateway/cells.py
+++ b/siskinspoke/gateway/cells.py
@@ -42,14 +42,14 @@
             self._ports = {peer.host: peer.port for peer in peers}
             vms = {peer.host: peer.failure_domain for peer in peers}
             vms[self._own_vm.host] = self._own_vm.failure_domain
-            before = (self._cells.of(self._own_vm.host), len(self._cells.all))
+            before = (self._cells.cell_of(self._own_vm.host), len(self._cells.all))
             self._cells = Cells(vms, _current_servers(self._directory))
             self._log_change(before, len(vms))
         return self._cells
 
     def _log_change(self, before: tuple[Cell | None, int], vms: int) -> None:
         """Log a change of this VM's cell; its knowledge of engine load starts over with it."""
-        cell, cells = self._cells.of(self._own_vm.host), len(self._cells.all)
+        cell, cells = self._cells.cell_of(self._own_vm.host), len(self._cells.all)
         if (cell, cells) != before:
             neighbours = len(self._cells.hosts(cell)) - 1
             self._log.note(
@@ -63,10 +63,10 @@
     @property
     def own_cell(self) -> Cell:
         """Return the ID of this VM's cell."""
-        return self._current().of(self._own_vm.host)
+        return self._current().cell_of(self._own_vm.host)
 
     @property
-    def others(self) -> list[Cell]:
+    def other_cells(self) -> list[Cell]:
         """Return the IDs of the other cells, those in this failure domain first."""
         own_cell = self.own_cell
         cells = [cell for cell in self._current().all if cell != own_cell]
@@ -80,7 +80,7 @@
     def is_neighbour(self, host: str) -> bool:
         """Return whether another VM is in this VM's cell."""
         cells = self._current()
-        return cells.of(host) == cells.of(self._own_vm.host)
+        return cells.cell_of(host) == cells.cell_of(self._own_vm.host)
 
     def servers(self, service: str) -> set[str]:
         """Return the servers of a service that belong to this VM's cell."""
@@ -88,12 +88,12 @@
 
     def cells_tracking(self, servers: Iterable[str]) -> set[Cell]:
         """Return the cells that track the load of any of these servers."""
-        return self._current().watching(servers)
+        return self._current().cells_tracking(servers)
 
 
 def _current_servers(directory: Directory) -> list[Server]:
     """Return the servers that have not left; a temporarily unresponsive server keeps its cell."""
-    announcements = [record.announcement for record in directory.all_known()]
+    announcements = [record.announcement for record in directory.all_records()]
     return [
         Server(item.server, item.service, item.failure_domain)
         for item in announcements
--- a/siskinspoke/gateway/clients.py
+++ b/siskinspoke/gateway/clients.py
@@ -3,8 +3,8 @@
 import trio
 
 from siskinspoke.coordination.routes import CallKind
-from siskinspoke.core.codes import FACTS, Failure, ResultCode
-from siskinspoke.core.supervise import note_fault
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
+from siskinspoke.core.supervise import log_fault
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.plain import WholeAnswer, retry_after, serve_plain
 from siskinspoke.gateway.streams import StreamCutError, serve_stream
@@ -72,7 +72,7 @@
         except Exception as error:
             # The connection is closed without an answer, which tells the client nothing about its
             # request.
-            note_fault(gateway.log, gateway.counters, "client connection", error)
+            log_fault(gateway.log, gateway.counters, "client connection", error)
         finally:
             with trio.CancelScope(shield=True):
                 await connection.close()
@@ -97,14 +97,14 @@
 
     async def _wait_for_request(self, connection: ClientConnection, seconds: float) -> bool:
         """Wait for the client's next request; return False on disconnect or timeout."""
-        if self._gateway.refusing:
+        if self._gateway.refuses_streams:
             seconds = DRAINING_IDLE_SECONDS
         with trio.move_on_after(seconds) as scope:
-            self._gateway.idle.add(scope)
+            self._gateway.idle_connections.add(scope)
             try:
                 return await connection.wait_for_request()
             finally:
-                self._gateway.idle.discard(scope)
+                self._gateway.idle_connections.discard(scope)
         return False
 
     async def _refuse_unread(self, connection: ClientConnection, error: BadRequestError) -> None:
@@ -176,7 +176,7 @@
         customer = table.customer_of(call.key)
         if table.needs_keys and not route.public and customer is None:
             return Failure(ResultCode.UNAUTHENTICATED, "the key is no customer's")
-        if not gateway.time_for(route.kind):
+        if not gateway.accepts(route.kind):
             return Failure(ResultCode.DRAINING, "this VM is about to stop", DRAINING_RETRY_AFTER_MS)
         return Request(call, route, customer, arrived_ms, table.version)
 
@@ -189,7 +189,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(connection.watch, nursery.cancel_scope)
-                seconds = max(0.0, request.left_ms(now_ms()) - ANSWER_MARGIN_MS) / 1000
+                seconds = max(0.0, request.remaining_ms(now_ms()) - ANSWER_MARGIN_MS) / 1000
                 with trio.move_on_after(seconds) as limit:
                     result = await self._dispatch(connection, request, close_connection)
                     request.end = "served"
@@ -235,7 +235,7 @@
         match result:
             case Failure():
                 request.end = result.code.name.lower()
-                request.status = FACTS[result.code].status
+                request.status = CODE_INFO[result.code].status
                 await self._send_failure(connection, request.call.id, result)
             case WholeAnswer(answer=answer, body=body):
                 request.status = answer.status
@@ -248,7 +248,7 @@
     async def _send_failure(
         self, connection: ClientConnection, call_id: str, failure: Failure
     ) -> None:
-        status, headers, body = self._gateway.wire.own_answer(call_id, failure)
+        status, headers, body = self._gateway.wire.encode_failure(call_id, failure)
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
         if self._gateway.draining:
             headers.append((b"Connection", b"close"))
@@ -275,8 +275,12 @@
             took=round(took),
             target=request.route.target_ms,
             pause_target=request.route.pause_ms,
-            first=None if request.first_ms is None else round(request.first_ms),
-            expected=None if request.expected_ms is None else round(request.expected_ms),
+            first=None if request.first_token_ms is None else round(request.first_token_ms),
+            expected=(
+                None
+                if request.expected_first_token_ms is None
+                else round(request.expected_first_token_ms)
+            ),
             tokens=request.call.prompt.tokens if request.call.prompt else None,
             engines=request.engines,
             considered=request.considered,
@@ -285,9 +289,9 @@
             widened=request.widened,
             events=request.events,
             longest_pause=round(request.longest_pause_ms),
-            tried=[list(item) for item in request.tried],
+            tried=[list(item) for item in request.attempts],
             held=request.held,
             reason=result.message if isinstance(result, Failure) else None,
             fingerprint=request.subject.fingerprint if suspect else None,
-            works=gateway.books.open_works,
+            works=gateway.books.work_count,
         )
--- a/siskinspoke/gateway/context.py
+++ b/siskinspoke/gateway/context.py
@@ -10,19 +10,19 @@
 
 from siskinspoke.conf.vm import VmSettings
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import Books
+from siskinspoke.coordination.books import WorkTable
 from siskinspoke.coordination.crash_watch import CrashWatch
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.domains import Domains
-from siskinspoke.coordination.fingerprints import Subject
-from siskinspoke.coordination.foresight import Foresight
-from siskinspoke.coordination.fullness import Fullness
-from siskinspoke.coordination.liveness import ConnectTimer, Looks
+from siskinspoke.coordination.domains import DomainMonitor
+from siskinspoke.coordination.fingerprints import RequestIdentity
+from siskinspoke.coordination.foresight import FirstTokenMargin
+from siskinspoke.coordination.fullness import NoRoomCache
+from siskinspoke.coordination.liveness import ConnectTimeout, ProbeTracker
 from siskinspoke.coordination.placement import Placement
 from siskinspoke.coordination.rate_limits import RateLimits
-from siskinspoke.coordination.retries import CommonBudget
+from siskinspoke.coordination.retries import SharedRetryBudget
 from siskinspoke.coordination.routes import CallKind, ClientLimits, Customer, Route, RouteTable
-from siskinspoke.coordination.standing import Standing
+from siskinspoke.coordination.standing import ServerHealth
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.core.latencies import Latencies
@@ -37,8 +37,8 @@
 # How long after the stop signal a VM still accepts requests. The load balancer stops sending new
 # ones after 3 s, and requests that arrived by then may be cut off. Plain requests finish within
 # 1.5 s.
-STREAMS_MS = 2_900.0
-PLAIN_MS = 5_500.0
+ACCEPT_STREAMS_MS = 2_900.0
+ACCEPT_PLAIN_MS = 5_500.0
 
 
 def now_ms() -> float:
@@ -54,17 +54,17 @@
     wire: Wire
     directory: Directory
     placement: Placement
-    standing: Standing
-    domains: Domains
+    standing: ServerHealth
+    domains: DomainMonitor
     rate_limits: RateLimits
     back_offs: BackOffs
-    budget: CommonBudget
+    budget: SharedRetryBudget
     pool: Pool
     attempts: OpenAttempts
-    looks: Looks
-    connects: ConnectTimer
+    probes: ProbeTracker
+    connect_timeout: ConnectTimeout
     cells: CellView
-    questions: Queries
+    queries: Queries
     permits: Permits
     peers: Peers
     crashes: CrashWatch
@@ -72,13 +72,13 @@
     latencies: Latencies
     log: DecisionLog
     rng: random.Random
-    fullness: Fullness = field(default_factory=Fullness)
-    foresight: Foresight = field(default_factory=Foresight)
-    chores: trio.Nursery | None = None
+    fullness: NoRoomCache = field(default_factory=NoRoomCache)
+    foresight: FirstTokenMargin = field(default_factory=FirstTokenMargin)
+    nursery: trio.Nursery | None = None
     table: RouteTable | None = None
-    draining_since: float | None = None
+    draining_since_ms: float | None = None
     open_requests: int = 0
-    idle: set[trio.CancelScope] = field(default_factory=set)
+    idle_connections: set[trio.CancelScope] = field(default_factory=set)
     crash_probes: dict[tuple[str, int], trio.Event] = field(default_factory=dict)
     configured: trio.Event = field(default_factory=trio.Event)
     started_at: float = -math.inf
@@ -86,26 +86,26 @@
     @property
     def draining(self) -> bool:
         """Return whether this VM is shutting down."""
-        return self.draining_since is not None
+        return self.draining_since_ms is not None
 
     @property
-    def refusing(self) -> bool:
+    def refuses_streams(self) -> bool:
         """Return whether this VM no longer accepts streams."""
-        return not self.time_for(CallKind.STREAM)
+        return not self.accepts(CallKind.STREAM)
 
-    def time_for(self, kind: CallKind) -> bool:
+    def accepts(self, kind: CallKind) -> bool:
         """Return whether a request of this kind that arrives now can finish before shutdown.
 
         A request accepted too late would be cut off in the middle of its response.
         """
-        if self.draining_since is None:
+        if self.draining_since_ms is None:
             return True
-        elapsed_ms = now_ms() - self.draining_since
-        return elapsed_ms < (STREAMS_MS if kind is CallKind.STREAM else PLAIN_MS)
+        elapsed_ms = now_ms() - self.draining_since_ms
+        return elapsed_ms < (ACCEPT_STREAMS_MS if kind is CallKind.STREAM else ACCEPT_PLAIN_MS)
 
-    def stop_waiting(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close idle client connections so that their clients reconnect to another VM."""
-        for scope in list(self.idle):
+        for scope in list(self.idle_connections):
             scope.cancel()
 
     @property
@@ -114,9 +114,9 @@
         return self.table.limits if self.table is not None else ClientLimits()
 
     @property
-    def books(self) -> Books:
+    def books(self) -> WorkTable:
         """Return the load state of the engines."""
-        return self.placement.books
+        return self.placement.work_table
 
 
 class AttemptResult(NamedTuple):
@@ -137,11 +137,11 @@
     arrived_ms: float
     version: int
     service: str = ""
-    tried: list[AttemptResult] = field(default_factory=list)
+    attempts: list[AttemptResult] = field(default_factory=list)
     # Chosen servers that became unavailable (back-off, rate limit or leaving) before the send.
     held: list[str] = field(default_factory=list)
-    first_ms: float | None = None
-    expected_ms: float | None = None
+    first_token_ms: float | None = None
+    expected_first_token_ms: float | None = None
     engines: int = 0
     considered: int = 0
     idle: int = 0
@@ -164,19 +164,19 @@
             else min(requested_ms, self.route.timeout_ms)
         )
 
-    def left_ms(self, now: float) -> float:
+    def remaining_ms(self, now: float) -> float:
         """Return the time left until the deadline."""
         return self.deadline_ms - (now - self.arrived_ms)
 
-    def note(self, server: str, outcome: str, now: float) -> None:
+    def record_attempt(self, server: str, outcome: str, now: float) -> None:
         """Record the outcome of an attempt."""
-        self.tried.append(AttemptResult(server, outcome, round(now - self.arrived_ms, 1)))
+        self.attempts.append(AttemptResult(server, outcome, round(now - self.arrived_ms, 1)))
 
     @cached_property
-    def subject(self) -> Subject:
+    def subject(self) -> RequestIdentity:
         """Return the identity by which repeats of this request are recognized."""
         customer = self.customer.name if self.customer is not None else ""
-        return Subject(customer, f"{self.call.host}{self.call.target}", self.call.body)
+        return RequestIdentity(customer, f"{self.call.host}{self.call.target}", self.call.body)
 
     @property
     def rank(self) -> int:
