--- a/siskinspoke/gateway/crashes.py
+++ b/siskinspoke/gateway/crashes.py
@@ -5,18 +5,18 @@
 
 import trio
 
-from siskinspoke.coordination.crash_watch import Run, RunEnd
+from siskinspoke.coordination.crash_watch import OpenRun, RunEnd
 from siskinspoke.coordination.crashes import Probation, Quarantined, Suspected, Undecided
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.witnesses import (
-    ASK_AGAIN,
-    ASK_AGAIN_SECONDS,
-    speaks_for_cut,
+    MAX_RECHECKS,
+    RECHECK_SECONDS,
+    indicates_partition,
     witnesses_of,
 )
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.reaching import NoConnection, look_at
-from siskinspoke.gateway.upstream import Broke
+from siskinspoke.gateway.reaching import NoConnection, probe_now
+from siskinspoke.gateway.upstream import OutcomeUnknown
 
 # A server may still crash from an attempt that was moved away from it, so it is probed after this
 # delay.
@@ -26,23 +26,25 @@
 class TrackedAttempt:
     """One attempt, recorded so that a later crash can be attributed to the requests then open."""
 
-    def __init__(self, run: Run):
+    def __init__(self, run: OpenRun):
         self.run = run
         self.end = RunEnd.BROKE
 
 
 @contextmanager
-def noted(gateway: Gateway, request: Request, *servers: ServerRecord) -> Iterator[TrackedAttempt]:
+def track_attempt(
+    gateway: Gateway, request: Request, *servers: ServerRecord
+) -> Iterator[TrackedAttempt]:
     """Record an attempt at some servers while the context is open; the caller sets its ``end``."""
     starts = [server.start for server in servers]
-    attempt = TrackedAttempt(gateway.crashes.began(request.subject, starts, now_ms()))
+    attempt = TrackedAttempt(gateway.crashes.start_run(request.subject, starts, now_ms()))
     try:
         yield attempt
     finally:
-        gateway.crashes.ended(attempt.run, attempt.end, now_ms())
+        gateway.crashes.end_run(attempt.run, attempt.end, now_ms())
 
 
-async def quarantine_of(gateway: Gateway, request: Request) -> Quarantined | None:
+async def check_quarantine(gateway: Gateway, request: Request) -> Quarantined | None:
     """Return the quarantine of a request, or None if it may be sent to a server now.
 
     If the evidence suffices for a quarantine but information that clears the request may still
@@ -60,7 +62,7 @@
                 gateway.counters.count("quarantine.refused")
                 return verdict
             case Probation(crashes=crashes):
-                gateway.crashes.probe(request.subject, now)
+                gateway.crashes.record_probe(request.subject, now)
                 request.crashes = crashes
                 return None
             case Suspected(crashes=crashes):
@@ -70,22 +72,22 @@
                 return None
 
 
-async def note_end(gateway: Gateway, server: ServerRecord, outcome: Broke) -> None:
+async def check_for_crash(gateway: Gateway, server: ServerRecord, outcome: OutcomeUnknown) -> None:
     """Determine whether a server that broke off an attempt has crashed.
 
     A dead process refuses connections. A server that only closed this connection accepts a new
     one, and a partitioned server either does not respond or refuses along with its whole failure
     domain. Neither of these counts as a crash.
     """
-    if not (outcome.closed or outcome.gone):
+    if not (outcome.closed or outcome.server_lost):
         if not gateway.crashes.ledger.is_empty:
-            gateway.chores.start_soon(_probe_later, gateway, server)
+            gateway.nursery.start_soon(_probe_later, gateway, server)
         return
     done = gateway.crash_probes.get(server.start)
     if done is None:
         # Runs in the background: a waiter may be cancelled while others still need the result.
         done = gateway.crash_probes[server.start] = trio.Event()
-        gateway.chores.start_soon(_probe_once, gateway, server, now_ms())
+        gateway.nursery.start_soon(_probe_once, gateway, server, now_ms())
     await done.wait()
 
 
@@ -105,12 +107,12 @@
 async def _probe_for_crash(gateway: Gateway, server: ServerRecord, at: float) -> None:
     """Check for a crash; if the result is inconclusive, retry in the background."""
     if not await _detect_crash(gateway, server, at):
-        gateway.chores.start_soon(_retry_probe, gateway, server, at)
+        gateway.nursery.start_soon(_retry_probe, gateway, server, at)
 
 
 async def _retry_probe(gateway: Gateway, server: ServerRecord, at: float) -> None:
-    for _ in range(ASK_AGAIN):
-        await trio.sleep(ASK_AGAIN_SECONDS)
+    for _ in range(MAX_RECHECKS):
+        await trio.sleep(RECHECK_SECONDS)
         if await _detect_crash(gateway, server, at):
             return
 
@@ -126,17 +128,17 @@
     if gateway.directory.has_left(announcement.server) or gateway.crashes.has_crashed(server.start):
         return True
     if not gateway.directory.superseded(*server.start):
-        match await look_at(gateway, server):
+        match await probe_now(gateway, server):
             case None:
                 return True
             case NoConnection.SILENT:
-                return gateway.domains.is_cut(announcement.failure_domain, now_ms())
+                return gateway.domains.is_cut_off(announcement.failure_domain, now_ms())
         if await _domain_refuses(gateway, server):
             _record_refusing_domain(gateway, server)
             return False
     now = now_ms()
-    servers = len(gateway.directory.believed(announcement.service, now))
-    gateway.crashes.crashed(server.start, announcement.service, servers, at, now)
+    servers = len(gateway.directory.routable(announcement.service, now))
+    gateway.crashes.record_crash(server.start, announcement.service, servers, at, now)
     return True
 
 
@@ -150,12 +152,12 @@
     reached: list[bool] = []
 
     async def probe(record: ServerRecord) -> None:
-        reached.append(await look_at(gateway, record) is None)
+        reached.append(await probe_now(gateway, record) is None)
 
     async with trio.open_nursery() as nursery:
         for record in witnesses:
             nursery.start_soon(probe, record)
-    return speaks_for_cut(reached)
+    return indicates_partition(reached)
 
 
 def _record_refusing_domain(gateway: Gateway, server: ServerRecord) -> None:
@@ -168,7 +170,7 @@
         server=announcement.server,
         start=announcement.incarnation,
     )
-    if gateway.domains.refused(announcement.failure_domain, now):
+    if gateway.domains.record_refusals(announcement.failure_domain, now):
         gateway.log.note(
             "domain.cut", domain=announcement.failure_domain, server=announcement.server
         )
--- a/siskinspoke/gateway/daemon.py
+++ b/siskinspoke/gateway/daemon.py
@@ -8,17 +8,17 @@
 import trio
 
 from siskinspoke.conf.vm import VmSettings
-from siskinspoke.conf.watch import SettingsWatch
+from siskinspoke.conf.watch import SettingsWatcher
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import Books
+from siskinspoke.coordination.books import WorkTable
 from siskinspoke.coordination.crash_watch import CrashWatch
-from siskinspoke.coordination.directory import Directory, Heard
-from siskinspoke.coordination.domains import Domains
-from siskinspoke.coordination.liveness import ConnectTimer, Looks
+from siskinspoke.coordination.directory import AnnouncementEffect, Directory
+from siskinspoke.coordination.domains import DomainMonitor
+from siskinspoke.coordination.liveness import ConnectTimeout, ProbeTracker
 from siskinspoke.coordination.placement import Placement
 from siskinspoke.coordination.rate_limits import RateLimits
-from siskinspoke.coordination.retries import CommonBudget
-from siskinspoke.coordination.standing import Standing
+from siskinspoke.coordination.retries import SharedRetryBudget
+from siskinspoke.coordination.standing import ServerHealth
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.core.latencies import Latencies
@@ -31,13 +31,17 @@
 from siskinspoke.gateway.lives import handle_announcement
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
-from siskinspoke.gateway.placing import offer
+from siskinspoke.gateway.placing import make_offer
 from siskinspoke.gateway.pool import Pool
 from siskinspoke.gateway.questions import Queries
-from siskinspoke.gateway.reaching import hear_lost, look_again_forever, look_forever
+from siskinspoke.gateway.reaching import (
+    handle_loss_report,
+    probe_overdue_forever,
+    probe_unreachable_forever,
+)
 from siskinspoke.gateway.reports import poll_forever, probe_unreachable_domains_forever
 from siskinspoke.gateway.restrictions import apply_peer_rate_limit
-from siskinspoke.gateway.streams import think_of_streams
+from siskinspoke.gateway.streams import recheck_streams
 from siskinspoke.gateway.wire import Wire
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.crashes import CrashNews
@@ -62,14 +66,14 @@
 
     def __init__(self, read_settings: Callable[[], VmSettings], wire: Wire, log: DecisionLog):
         self._log = log
-        self._settings_watch = SettingsWatch(
+        self._settings_watch = SettingsWatcher(
             read_settings, lambda seeds: self._feeds.set_seeds(seeds), log
         )
         settings = self._settings_watch.settings
         counters = Counters()
-        books = Books()
-        domains = Domains()
-        budget = CommonBudget(settings.retry_share, settings.retry_burst)
+        books = WorkTable()
+        domains = DomainMonitor()
+        budget = SharedRetryBudget(settings.retry_share, settings.retry_burst)
         listener = Listener(
             on_publication=self._on_publication,
             on_news=self._on_announcements,
@@ -77,7 +81,7 @@
             on_remembered=self._on_remembered_servers,
             version=lambda: self.gateway.table.version if self.gateway.table else 0,
             on_crashes=self._on_crashes,
-            own_crashes=lambda: self.gateway.crashes.own_news(now_ms()),
+            own_crashes=lambda: self.gateway.crashes.own_reports(now_ms()),
         )
         directory = Directory(settings.announce_every_ms * ANNOUNCEMENTS_PER_LEASE)
         self._feeds = FeedSet(
@@ -99,7 +103,7 @@
         queries = Queries(
             settings.host,
             settings.peer_port,
-            lambda question: offer(self.gateway, question),
+            lambda question: make_offer(self.gateway, question),
             counters,
             lambda question: self.gateway.permits.answer(question),
         )
@@ -109,17 +113,17 @@
             wire=wire,
             directory=directory,
             placement=Placement(books),
-            standing=Standing(),
+            standing=ServerHealth(),
             domains=domains,
             rate_limits=rate_limits,
             back_offs=BackOffs(),
             budget=budget,
             pool=Pool(),
             attempts=OpenAttempts(),
-            looks=Looks(),
-            connects=ConnectTimer(),
+            probes=ProbeTracker(),
+            connect_timeout=ConnectTimeout(),
             cells=cells,
-            questions=queries,
+            queries=queries,
             permits=Permits(
                 EntryPeer(settings.host, settings.peer_port, settings.failure_domain),
                 lambda: self._feeds.peers,
@@ -139,10 +143,10 @@
                 queries,
                 counters,
                 self._feeds.heard_peer,
-                lambda server: hear_lost(self.gateway, server),
+                lambda server: handle_loss_report(self.gateway, server),
                 self._on_crashes,
                 self._feeds.hear_control,
-                lambda work: think_of_streams(self.gateway, work),
+                lambda work: recheck_streams(self.gateway, work),
                 lambda news: apply_peer_rate_limit(self.gateway, news),
             ),
             crashes=CrashWatch(self._send_crashes, counters, log),
@@ -168,7 +172,7 @@
         gateway = self.gateway
         if gateway.table is not None and version <= gateway.table.version:
             return
-        decoded = gateway.wire.table_from(document)
+        decoded = gateway.wire.decode_configuration(document)
         if decoded.is_error():
             gateway.counters.count("configuration.refused")
             self._log.note("configuration.refused", version=version, reason=decoded.error.message)
@@ -180,7 +184,7 @@
     def _on_announcements(self, announcements: list[Announcement]) -> None:
         for announcement in announcements:
             change = handle_announcement(self.gateway, announcement)
-            if change in (Heard.JOINED, Heard.LEFT):
+            if change in (AnnouncementEffect.JOINED, AnnouncementEffect.LEFT):
                 self._log.note(
                     f"server.{change.value}",
                     server=announcement.server,
@@ -192,11 +196,11 @@
 
     def _on_remembered_servers(self, announcements: list[Announcement]) -> None:
         now = now_ms()
-        new = [item for item in announcements if self.gateway.directory.remember(item, now)]
+        new = [item for item in announcements if self.gateway.directory.restore(item, now)]
         self._log.note("servers.remembered", told=len(announcements), new=len(new))
 
     def _on_crashes(self, crashes: CrashNews) -> None:
-        self.gateway.crashes.hear(crashes, now_ms())
+        self.gateway.crashes.apply(crashes, now_ms())
 
     def _send_crashes(self, crashes: CrashNews) -> None:
         """Send crash updates to this cell's VMs directly, and to all others via control VMs."""
@@ -226,21 +230,21 @@
             port = await open_datagram_port(
                 settings.host, settings.peer_port, settings.internal_key, gateway.counters
             )
-            gateway.chores = nursery
+            gateway.nursery = nursery
             for task, *args in (
                 (gateway.peers.run, port),
                 (self._feeds.run,),
                 (self._maintain_forever,),
                 (poll_forever, gateway, lambda: self._feeds.connected > 0),
                 (probe_unreachable_domains_forever, gateway),
-                (look_forever, gateway),
-                (look_again_forever, gateway),
+                (probe_overdue_forever, gateway),
+                (probe_unreachable_forever, gateway),
                 (self._reload_forever,),
             ):
                 nursery.start_soon(keep_running, self._log, gateway.counters, task, *args)
-            public = settings.public
+            public = settings.public_address
             await nursery.start(ClientServer(gateway).serve, public.host, public.port)
-            ready = settings.ready
+            ready = settings.readiness_address
             await nursery.start(serve_pages, self._readiness_pages(), ready.host, ready.port)
             if metrics_port:
                 pages = metrics_pages(gateway.counters, gateway.latencies)
@@ -255,13 +259,13 @@
     async def _drain(self) -> None:
         """Report not ready, serve requests that still arrive, and return once none are open."""
         gateway = self.gateway
-        gateway.draining_since = now_ms()
+        gateway.draining_since_ms = now_ms()
         self._log.note("drain", open=gateway.open_requests)
         began = trio.current_time()
         limit = self._settings_watch.settings.shutdown_seconds - SHUTDOWN_RESERVE_SECONDS
         with trio.move_on_after(limit):
             await trio.sleep(BALANCER_REMOVAL_SECONDS)
-            gateway.stop_waiting()
+            gateway.close_idle_connections()
             while gateway.open_requests:
                 await trio.sleep(DRAIN_POLL_SECONDS)
         elapsed = trio.current_time() - began
@@ -274,16 +278,16 @@
             await trio.sleep(MAINTENANCE_INTERVAL_SECONDS)
             now = now_ms()
             gateway.budget.set_vms(1 + len(self._feeds.peers), 1 + gateway.peers.count_heard(now))
-            gateway.directory.forget(now)
+            gateway.directory.prune(now)
             self._feeds.forget_peers()
-            names = [item.announcement.server for item in gateway.directory.all_known()]
-            gateway.standing.forget(names)
-            gateway.books.forget(now, names)
-            gateway.rate_limits.forget(names)
+            names = [item.announcement.server for item in gateway.directory.all_records()]
+            gateway.standing.prune(names)
+            gateway.books.expire(now, names)
+            gateway.rate_limits.prune(names)
             gateway.permits.tick(names)
-            gateway.back_offs.forget(names, now)
+            gateway.back_offs.prune(names, now)
             gateway.peers.expire_peers(now)
-            gateway.crashes.forget(now)
+            gateway.crashes.prune(now)
             gateway.pool.prune(now)
             gateway.counters.gauge("requests.open", gateway.open_requests)
             gateway.counters.gauge("controls.heard", self._feeds.connected)
@@ -297,4 +301,4 @@
             while True:
                 with trio.move_on_after(RELOAD_INTERVAL_SECONDS):
                     await signals.__anext__()
-                self._settings_watch.look()
+                self._settings_watch.reload()
--- a/siskinspoke/gateway/exchange.py
+++ b/siskinspoke/gateway/exchange.py
@@ -6,7 +6,7 @@
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.gateway.context import Gateway, now_ms
-from siskinspoke.gateway.restrictions import hear_answer
+from siskinspoke.gateway.restrictions import apply_restrictions
 from siskinspoke.transport.http1 import PeerError, RequestHead, connect
 
 
@@ -41,7 +41,7 @@
                 )
             await connection.send_request(head, body)
             answer = await connection.read_head()
-            hear_answer(gateway, "", server, gateway.wire.decode_answer(answer), sent_at)
+            apply_restrictions(gateway, "", server, gateway.wire.decode_answer(answer), sent_at)
             parts = []
             while (data := await connection.read_data()) is not None:
                 parts.append(data)
--- a/siskinspoke/gateway/lives.py
+++ b/siskinspoke/gateway/lives.py
@@ -5,27 +5,27 @@
 recorded for it is gone.
 """
 
-from siskinspoke.coordination.directory import Heard, start_of
+from siskinspoke.coordination.directory import AnnouncementEffect, start_of
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.protocol.announcements import Announcement
 
 
-def handle_announcement(gateway: Gateway, announcement: Announcement) -> Heard:
+def handle_announcement(gateway: Gateway, announcement: Announcement) -> AnnouncementEffect:
     """Process an announcement, and reset the server's state here if it has restarted."""
     known = gateway.directory.latest(announcement.server)
-    change = gateway.directory.hear(announcement, now_ms())
+    change = gateway.directory.apply(announcement, now_ms())
     if known is None or known.announcement.incarnation >= announcement.incarnation:
         return change
     server = announcement.server
     if not known.announcement.leaving and not gateway.crashes.has_crashed(known.start):
         now, service = now_ms(), announcement.service
-        servers = len(gateway.directory.believed(service, now))
-        gateway.crashes.started_anew(known.start, service, servers, now)
-    gateway.standing.started(server)
-    gateway.books.started(server)
+        servers = len(gateway.directory.routable(service, now))
+        gateway.crashes.record_restart(known.start, service, servers, now)
+    gateway.standing.reset(server)
+    gateway.books.clear_engine(server)
     for restrictions in (gateway.back_offs, gateway.rate_limits):
-        restrictions.started(known.start, start_of(announcement), now_ms())
-    ended = gateway.attempts.started(server, announcement.incarnation)
+        restrictions.carry_over(known.start, start_of(announcement), now_ms())
+    ended = gateway.attempts.end_restarted(server, announcement.incarnation)
     gateway.counters.count("server.started_again")
     gateway.log.note(
         "server.started_again",
--- a/siskinspoke/gateway/onward.py
+++ b/siskinspoke/gateway/onward.py
@@ -13,12 +13,12 @@
 from typing import NamedTuple
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.left_out import LeftOut
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.left_out import ExcludedServers
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, RESTARTED
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.placing import Assignment
-from siskinspoke.gateway.upstream import Broke, NotRun
+from siskinspoke.gateway.upstream import NotRun, OutcomeUnknown
 
 # Attempts that reached a server, and attempts that reached none.  The latter cost some milliseconds
 # each where a server is gone, and after the loss of many servers they are what finds those that are
@@ -68,7 +68,7 @@
     of a stream, several of a plain call, of which ``refusals`` were not run.
     """
 
-    left_out: LeftOut = field(default_factory=LeftOut)
+    left_out: ExcludedServers = field(default_factory=ExcludedServers)
     runs: int = 0
     delivered: int = 0
     undelivered: int = 0
@@ -91,14 +91,14 @@
     def count_outcome(self, gateway: Gateway, server: ServerRecord, outcome: object) -> None:
         """Count an attempt's outcome: any but ``NotRun`` and ``OutcomeUnknown`` is an answer."""
         match outcome:
-            case NotRun(trouble=Trouble.HELD):
+            case NotRun(trouble=FailureKind.HELD):
                 self.keep_retry()
             case NotRun(arrived=arrived):
                 self.delivered += arrived
-            case Broke(gone=gone):
+            case OutcomeUnknown(server_lost=server_lost):
                 self.delivered += 1
                 self.runs += not has_stopped_work(gateway, server, outcome)
-                self.lost_servers += gone or outcome.reason == ANSWER_TIMED_OUT
+                self.lost_servers += server_lost or outcome.reason == ANSWER_TIMED_OUT
             case _:
                 self.delivered += 1
                 self.runs += 1
@@ -107,7 +107,7 @@
         """Take a retry from the budget, unless the attempt is the first or has one reserved."""
         self.retry_spent = self.retry_reserved
         if not self.retry_reserved and self.delivered:
-            self.retry_spent = gateway.budget.take(request.service, now_ms())
+            self.retry_spent = gateway.budget.spend(request.service, now_ms())
             return self.retry_spent
         self.retry_reserved = False
         return True
@@ -133,13 +133,13 @@
     def _release_place(self, gateway: Gateway) -> None:
         planned, self.planned = self.planned, None
         if planned is not None and planned.work is not None:
-            gateway.peers.ended(planned.work)
+            gateway.peers.end_work(planned.work)
 
     def release(self, gateway: Gateway, request: Request) -> None:
         """Release what was reserved for an attempt that is not needed."""
         self._release_place(gateway)
         if self.retry_reserved:
-            gateway.budget.give_back(request.service, now_ms())
+            gateway.budget.refund(request.service, now_ms())
         self.retry_reserved = False
 
 
@@ -183,7 +183,7 @@
             self._next_check_at = now + MIN_RECHECK_MS
             self._log_obstacle(obstacle)
             return False
-        self._gateway.budget.take(self._request.service, now)
+        self._gateway.budget.spend(self._request.service, now)
         self._retry_state.retry_reserved = True
         return True
 
@@ -195,9 +195,9 @@
             return RetryObstacle.NOT_RETRYABLE
         if retry_state.runs + retry_state.open_attempts >= request.route.max_attempts:
             return RetryObstacle.ATTEMPTS
-        if not retry_state.has_attempts_left(len(request.tried) + 1):
+        if not retry_state.has_attempts_left(len(request.attempts) + 1):
             return RetryObstacle.TRIES
-        if not gateway.budget.has_left(request.service, now_ms()):
+        if not gateway.budget.can_spend(request.service, now_ms()):
             return RetryObstacle.BUDGET
         return None
 
@@ -213,13 +213,13 @@
             server=self._server,
             why=obstacle.value,
             events=request.events,
-            left=round(request.left_ms(now)),
+            left=round(request.remaining_ms(now)),
             leaving=gateway.directory.has_left(self._server),
             unreachable=gateway.standing.is_unreachable(self._server),
         )
 
 
-def has_stopped_work(gateway: Gateway, server: ServerRecord, broke: Broke) -> bool:
+def has_stopped_work(gateway: Gateway, server: ServerRecord, broke: OutcomeUnknown) -> bool:
     """Tell whether a server that broke off has certainly stopped working on the request.
 
     A server that cannot be reached may still be working.  One that announced that it is leaving and
@@ -231,5 +231,5 @@
     if broke.reason == RESTARTED or gateway.crashes.has_crashed(server.start):
         return True
     announcement = server.announcement
-    is_cut = gateway.domains.is_cut(announcement.failure_domain, now_ms())
+    is_cut = gateway.domains.is_cut_off(announcement.failure_domain, now_ms())
     return broke.closed and (is_cut or gateway.directory.has_left(announcement.server))
--- a/siskinspoke/gateway/peers.py
+++ b/siskinspoke/gateway/peers.py
@@ -10,10 +10,10 @@
 
 import trio
 
-from siskinspoke.coordination.books import Books, Job, Work
+from siskinspoke.coordination.books import Job, Work, WorkTable
 from siskinspoke.coordination.cells import Cell
-from siskinspoke.coordination.domains import Domains
-from siskinspoke.coordination.retries import CommonBudget
+from siskinspoke.coordination.domains import DomainMonitor
+from siskinspoke.coordination.retries import SharedRetryBudget
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.questions import Queries
@@ -55,9 +55,9 @@
         self,
         host: str,
         domain: str,
-        books: Books,
-        budget: CommonBudget,
-        domains: Domains,
+        books: WorkTable,
+        budget: SharedRetryBudget,
+        domains: DomainMonitor,
         cells: CellView,
         queries: Queries,
         counters: Counters,
@@ -95,11 +95,11 @@
         self._has_updates = trio.Event()
         self._send_now = trio.Event()
 
-    def began(self, work: Work) -> int:
+    def begin_work(self, work: Work) -> int:
         """Record work in the load state of this VM and of its peers, and return its number."""
         self._last_number += 1
         number, job = self._last_number, work.job
-        self._books.begin(self._own_work_key(number), work)
+        self._books.add(self._own_work_key(number), work)
         self._on_work_began(work)
         update = WorkBegan(
             number,
@@ -109,7 +109,7 @@
             job.target_ms,
             job.pause_ms,
             list(work.held),
-            work.alone,
+            work.exclusive,
         )
         self._tracking_cells[number] = self._cells.cells_tracking(work.servers)
         for cell in self._tracking_cells[number]:
@@ -117,24 +117,24 @@
         self._send_now.set()
         return number
 
-    def wrote(self, number: int) -> None:
+    def mark_first_token(self, number: int) -> None:
         """Record that the first token of some work was written."""
-        self._books.wrote(self._own_work_key(number))
+        self._books.mark_first_token(self._own_work_key(number))
         for cell in self._tracking_cells[number]:
             self._enqueue(self._update_for(cell).wrote, number)
 
-    def ended(self, number: int) -> None:
+    def end_work(self, number: int) -> None:
         """Remove finished work from the load state."""
-        self._books.end(self._own_work_key(number))
+        self._books.remove(self._own_work_key(number))
         for cell in self._tracking_cells.pop(number):
             self._enqueue(self._update_for(cell).ended, number)
 
-    def cut(self, domain: str) -> None:
+    def send_unreachable_domain(self, domain: str) -> None:
         """Tell the other VMs that a failure domain has become unreachable."""
         self._enqueue(self._own_cell_update().cuts, domain)
         self._send_now.set()
 
-    def lost(self, server: str) -> None:
+    def send_unreachable_server(self, server: str) -> None:
         """Tell the other VMs that a server is unreachable from this VM."""
         self._enqueue(self._own_cell_update().lost, server)
         self._send_now.set()
@@ -155,8 +155,8 @@
 
     def update_pace(self, server: str, pace: float) -> None:
         """Record the pace reported by an engine, and send it to the peers if it has changed."""
-        changed = abs(self._books.engine(server).pace - pace) > MIN_PACE_CHANGE
-        self._books.engine(server).pace = pace
+        changed = abs(self._books.engine(server).slowdown - pace) > MIN_PACE_CHANGE
+        self._books.engine(server).slowdown = pace
         if changed:
             self._enqueue(self._own_cell_update().paces, EnginePace(server, pace))
 
@@ -207,9 +207,9 @@
                 await port.send_to_all(item, self._cells.addresses(cell))
         updates, self._pending_work = self._pending_work, {}
         own_cell = self._cells.own_cell
-        if own_cell in updates or self._budget.has_repeats_to_tell:
+        if own_cell in updates or self._budget.has_unsent_retries:
             updates.setdefault(own_cell, self._empty_update()).calls.extend(
-                self._budget.take_news()
+                self._budget.take_unsent()
             )
         for cell in self._cells_due(now):
             updates.setdefault(cell, self._empty_update())
@@ -243,7 +243,9 @@
     def expire_peers(self, now: float) -> None:
         """Drop the work of VMs no longer heard from; ``now`` is in milliseconds."""
         for host, (start, at) in list(self._last_heard.items()):
-            if now - at > PEER_TIMEOUT_MS and self._books.end_all(_work_key(host, start, "")):
+            if now - at > PEER_TIMEOUT_MS and self._books.remove_with_prefix(
+                _work_key(host, start, "")
+            ):
                 self._counters.count("peers.silent")
             if now - at > BUDGET_TIMEOUT_MS:
                 del self._last_heard[host]
@@ -252,14 +254,14 @@
         """Record the sender; if its process has restarted, drop the work of the old one."""
         known = self._last_heard.get(host)
         if known is not None and known[0] != start:
-            self._books.end_all(_work_key(host, known[0], ""))
+            self._books.remove_with_prefix(_work_key(host, known[0], ""))
         self._last_heard[host] = (start, trio.current_time() * 1000)
         self._on_peer(host, domain)
 
     async def _handle(self, item: Any) -> None:
         match item:
             case WorkNews():
-                self._hear_news(item)
+                self._handle_work(item)
             case PlaceQuestion() | PermitRequest():
                 await self._queries.handle_query(item)
             case PlaceOffer() | PermitReply():
@@ -273,29 +275,29 @@
             case _:
                 self._counters.count("datagram.refused.kind")
 
-    def _hear_news(self, item: WorkNews) -> None:
+    def _handle_work(self, item: WorkNews) -> None:
         host, start = item.host, item.start
         self._record_sender(host, start, item.domain)
         now = trio.current_time() * 1000
         for began in item.began:
             job = Job(began.tokens, began.max_tokens, began.target_ms, began.pause_ms)
-            work = Work(job, tuple(began.servers), now, tuple(began.held), alone=began.alone)
-            self._books.begin(_work_key(host, start, began.number), work)
+            work = Work(job, tuple(began.servers), now, tuple(began.held), exclusive=began.alone)
+            self._books.add(_work_key(host, start, began.number), work)
             self._on_work_began(work)
         for number in item.wrote:
-            self._books.wrote(_work_key(host, start, number))
+            self._books.mark_first_token(_work_key(host, start, number))
         for number in item.ended:
-            self._books.end(_work_key(host, start, number))
+            self._books.remove(_work_key(host, start, number))
         for calls in item.calls:
-            self._budget.heard(calls, now)
+            self._budget.add_remote(calls, now)
         if item.domain == self._domain:
             for domain in item.cuts:
-                if self._domains.told(domain, host, now):
+                if self._domains.record_report(domain, host, now):
                     self._counters.count("domain.cut_told")
         for server in item.lost:
             self._on_unreachable_server(server)
         for pace in item.paces:
-            self._books.engine(pace.server).pace = pace.pace
+            self._books.engine(pace.server).slowdown = pace.pace
 
 
 def _work_key(host: str, start: str, number: int | str) -> str:
--- a/siskinspoke/gateway/permits.py
+++ b/siskinspoke/gateway/permits.py
@@ -8,13 +8,13 @@
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.limiters import (
-    PERMIT_MS,
-    TAKE_OVER_MS,
-    Ask,
+    PERMIT_LIFETIME_MS,
+    TAKEOVER_MS,
     Limiter,
     Outcome,
-    Verdict,
-    limiters_of,
+    PermitDecision,
+    PermitQuery,
+    choose_limiters,
 )
 from siskinspoke.coordination.rate_limits import RateLimit, RateLimits
 from siskinspoke.core.counters import Counters
@@ -43,10 +43,10 @@
     until: float
 
 
-class Found(NamedTuple):
+class Decision(NamedTuple):
     """The verdict of a limiter and its host; the host is empty if no limiter has decided."""
 
-    verdict: Verdict
+    verdict: PermitDecision
     host: str = ""
 
 
@@ -90,7 +90,7 @@
         """Record that this process is running, and discard the state of servers not listed."""
         limiter = self._my_limiter()
         limiter.tick(_now_ms())
-        limiter.forget(servers)
+        limiter.prune(servers)
         for server in self._limiters_by_server.keys() - set(servers):
             del self._limiters_by_server[server]
 
@@ -103,23 +103,23 @@
         if limiters is None:
             vms = {peer.host: peer.failure_domain for peer in self._peers()}
             vms[self._own_vm.host] = self._own_vm.failure_domain
-            limiters = self._limiters_by_server[server] = limiters_of(server, domain, vms)
+            limiters = self._limiters_by_server[server] = choose_limiters(server, domain, vms)
         return limiters
 
     def answer(self, request: PermitRequest) -> PermitReply:
         """Answer another VM as the limiter of a server."""
         start = request.server, request.incarnation
-        self._limits.name(start, request.rate, _now_ms() - request.age_ms)
-        ask = Ask(request.host, start, request.rate, request.patience_ms, request.silent_ms)
+        self._limits.record(start, request.rate, _now_ms() - request.age_ms)
+        ask = PermitQuery(request.host, start, request.rate, request.patience_ms, request.silent_ms)
         verdict = self._decide(ask, request.domain)
         self._counters.count(f"permit.{verdict.outcome.name.lower()}")
         return PermitReply(request.number, *verdict)
 
-    def _decide(self, ask: Ask, domain: str) -> Verdict:
+    def _decide(self, ask: PermitQuery, domain: str) -> PermitDecision:
         limiters = self._limiters(ask.start[0], domain)
         rank = limiters.index(self._own_vm.host) if self._own_vm.host in limiters else None
         preferred = limiters[:rank] if rank else ()
-        if any(self._heard_within(host, TAKE_OVER_MS) for host in preferred):
+        if any(self._heard_within(host, TAKEOVER_MS) for host in preferred):
             ask = ask._replace(silent_ms=0.0)
         if (known := self._limits.find(ask.start)) is not None:
             # This VM may know a more recent limit than the one that asks.
@@ -128,34 +128,34 @@
 
     async def obtain(
         self, queries: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
-    ) -> tuple[Permit | Denied, Found]:
+    ) -> tuple[Permit | Denied, Decision]:
         """Return a permit as soon as it is valid, or the time until which there is none."""
         asked_at = _now_ms()
         decision = await self._ask_limiters(queries, server, limit, patience_ms)
         match decision.verdict:
-            case Verdict(Outcome.GRANTED, wait_ms):
+            case PermitDecision(Outcome.GRANTED, wait_ms):
                 await trio.sleep(wait_ms / 1000)
-                until = asked_at + wait_ms + PERMIT_MS
+                until = asked_at + wait_ms + PERMIT_LIFETIME_MS
                 if _now_ms() < until:
                     return Permit(server.start, until), decision
                 # The permit has expired already, for example because this process was paused.
                 denied = Denied(_now_ms())
-            case Verdict(Outcome.LATER, wait_ms):
+            case PermitDecision(Outcome.LATER, wait_ms):
                 denied = Denied(_now_ms() + wait_ms)
             case _:
                 denied = Denied(_now_ms() + NO_LIMITER_RETRY_MS)
-        self._limits.close(server.start, denied.until)
+        self._limits.block_until(server.start, denied.until)
         return denied, decision
 
     async def _ask_limiters(
         self, queries: Queries, server: ServerRecord, limit: RateLimit, patience_ms: float
-    ) -> Found:
+    ) -> Decision:
         """Return the verdict of the first limiter that answers and is able to decide."""
         announcement = server.announcement
         silent_ms = math.inf
         for host in self._limiters(announcement.server, announcement.failure_domain):
             silent = 0.0 if silent_ms == math.inf else silent_ms
-            ask = Ask(self._own_vm.host, server.start, limit.rate, patience_ms, silent)
+            ask = PermitQuery(self._own_vm.host, server.start, limit.rate, patience_ms, silent)
             if host == self._own_vm.host:
                 verdict = self._decide(ask, announcement.failure_domain)
             else:
@@ -166,14 +166,14 @@
             if verdict is None:
                 silent_ms = min(silent_ms, _now_ms() - self._silent_since[host])
             elif verdict.outcome is not Outcome.ELSEWHERE:
-                return Found(verdict, host)
+                return Decision(verdict, host)
             else:
                 silent_ms = 0.0
-        return Found(Verdict(Outcome.ELSEWHERE))
+        return Decision(PermitDecision(Outcome.ELSEWHERE))
 
     async def _ask_vm(
-        self, queries: Queries, host: str, ask: Ask, domain: str, age_ms: float
-    ) -> Verdict | None:
+        self, queries: Queries, host: str, ask: PermitQuery, domain: str, age_ms: float
+    ) -> PermitDecision | None:
         """Return the verdict of another VM, or None if it does not answer."""
         now = _now_ms()
         if self._skipped_until.get(host, now) > now:
@@ -190,7 +190,7 @@
             return None
         self._silent_since.pop(host, None)
         self._skipped_until.pop(host, None)
-        return Verdict(reply.outcome, reply.wait_ms)
+        return PermitDecision(reply.outcome, reply.wait_ms)
 
 
 def _now_ms() -> float:
--- a/siskinspoke/gateway/placing.py
+++ b/siskinspoke/gateway/placing.py
@@ -4,19 +4,19 @@
 
 from siskinspoke.coordination.books import Job
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.fullness import Look
-from siskinspoke.coordination.placement import DRAWN_ENGINES, Candidate, Place
+from siskinspoke.coordination.fullness import RoomSearch
+from siskinspoke.coordination.placement import SAMPLED_ENGINES, Candidate, Place
 from siskinspoke.coordination.routes import EngineCosts
-from siskinspoke.coordination.widening import is_short
+from siskinspoke.coordination.widening import lacks_room
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.servers import (
-    REMOTE_MS,
+    REMOTE_DOMAIN_MS,
     candidates,
     cell_candidates,
     least_loaded,
     reachable_unlimited,
 )
-from siskinspoke.gateway.widening import ask_others
+from siskinspoke.gateway.widening import request_remote_place
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion
 
 # Penalty of a server, times the share of its requests that fail.  Milliseconds.
@@ -99,8 +99,8 @@
     if request.crashes >= ISOLATION_CRASHES and may_wait:
         return None
     found = choose_engines(gateway, costs, job, records)
-    if not local_only and gateway.cells.others and is_short(found, request.route.target_ms):
-        offered = await ask_others(gateway, request, job, excluded, found)
+    if not local_only and gateway.cells.other_cells and lacks_room(found, request.route.target_ms):
+        offered = await request_remote_place(gateway, request, job, excluded, found)
         found = (
             offered
             or found
@@ -130,14 +130,14 @@
         records = _local_servers(gateway, records, local_only)
         return Assignment(least_loaded(gateway, records)) if records else None
     found = None
-    look = Look(request.service, frozenset(excluded), local_only)
+    look = RoomSearch(request.service, frozenset(excluded), local_only)
     tokens, now = job.tokens + job.max_tokens, now_ms()
-    if not gateway.fullness.is_full(look, tokens, now):
+    if not gateway.fullness.found_no_room(look, tokens, now):
         records = reachable_unlimited(gateway, cell_candidates(gateway, request.service, excluded))
         found = choose_engines(gateway, costs, job, _local_servers(gateway, records, local_only))
         if found is None:
-            gateway.fullness.note(look, tokens, now)
-    if found is None and other_cells and gateway.cells.others:
+            gateway.fullness.record(look, tokens, now)
+    if found is None and other_cells and gateway.cells.other_cells:
         found = _choose_in_other_cells(gateway, request.service, job, costs, excluded)
     return None if found is None else _assignment(gateway, found, job, costs)
 
@@ -166,7 +166,7 @@
     refuses at once.
     """
     records = candidates(gateway, service, excluded)
-    drawn = gateway.rng.sample(records, min(len(records), DRAWN_ENGINES))
+    drawn = gateway.rng.sample(records, min(len(records), SAMPLED_ENGINES))
     return choose_engines(gateway, costs, job, drawn)
 
 
@@ -190,7 +190,7 @@
         return None
     route, now = request.route, now_ms()
     # With a short route timeout, the first token must leave some of the time for the rest.
-    target = min(route.target_ms, FIRST_TOKEN_SHARE * max(1.0, request.left_ms(now)))
+    target = min(route.target_ms, FIRST_TOKEN_SHARE * max(1.0, request.remaining_ms(now)))
     pause = route.pause_ms or DEFAULT_PAUSE_MS
     job = Job(prompt.tokens, prompt.max_tokens, target, pause)
     if last_event_at is None:
@@ -221,18 +221,18 @@
     """
     own_domain = gateway.settings.failure_domain
     offered = []
-    shared = [item for item in records if not gateway.books.is_alone(item.announcement.server)]
+    shared = [item for item in records if not gateway.books.is_exclusive(item.announcement.server)]
     records = shared or records
     for record in records:
         announcement = record.announcement
         penalty = FAILURE_PENALTY_MS * gateway.standing.failure_share(announcement.server)
         if announcement.failure_domain != own_domain:
-            penalty += REMOTE_MS
+            penalty += REMOTE_DOMAIN_MS
         offered.append(Candidate(announcement.server, penalty))
     return gateway.placement.choose(costs, job, offered, now_ms(), gateway.rng)
 
 
-def offer(gateway: Gateway, question: PlaceQuestion) -> PlaceOffer:
+def make_offer(gateway: Gateway, question: PlaceQuestion) -> PlaceOffer:
     """Return where this VM would place a prompt that a VM of another cell received."""
     costs = _costs(gateway, question.service)
     found = None
--- a/siskinspoke/gateway/plain.py
+++ b/siskinspoke/gateway/plain.py
@@ -9,28 +9,28 @@
 
 from siskinspoke.coordination.crash_watch import RunEnd
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.liveness import whole_due_ms
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.liveness import answer_timeout_ms
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.crashes import note_end, noted, quarantine_of
+from siskinspoke.gateway.crashes import check_for_crash, check_quarantine, track_attempt
 from siskinspoke.gateway.onward import Failover, RetryState
-from siskinspoke.gateway.sending import opens_in_ms
+from siskinspoke.gateway.sending import hold_ends_in_ms
 from siskinspoke.gateway.servers import (
     candidates,
     choose_service,
-    learn,
     least_loaded,
-    permit_patience_ms,
+    max_permit_wait_ms,
     reachable,
     reachable_unlimited,
+    record_failure,
 )
 from siskinspoke.gateway.upstream import (
     AnswerStarted,
     AttemptAbandonedError,
-    Broke,
     NotRun,
+    OutcomeUnknown,
     connection_failure,
     read_body_part,
     release_connection,
@@ -81,7 +81,7 @@
 async def serve_plain(gateway: Gateway, request: Request) -> WholeAnswer | Failure:
     """Return a server's complete answer, or the failure that the caller gets instead."""
     request.service = choose_service(gateway, request)
-    quarantine = await quarantine_of(gateway, request)
+    quarantine = await check_quarantine(gateway, request)
     if quarantine is not None:
         return quarantine.refusal
     gateway.budget.first_attempt(request.service, now_ms())
@@ -105,7 +105,7 @@
     """The outcome of an attempt."""
 
     server: ServerRecord
-    outcome: WholeAnswer | NotRun | Broke
+    outcome: WholeAnswer | NotRun | OutcomeUnknown
 
 
 class _PlainCall:
@@ -150,13 +150,16 @@
         retry_state, request = self._retry_state, self._request
         if retry_state.runs + retry_state.open_attempts >= request.route.max_attempts:
             return False
-        if not retry_state.has_attempts_left(len(request.tried)) or self._has_run_out_of_servers():
+        if (
+            not retry_state.has_attempts_left(len(request.attempts))
+            or self._has_run_out_of_servers()
+        ):
             return False
-        return self._last_result is None or await quarantine_of(self._gateway, request) is None
+        return self._last_result is None or await check_quarantine(self._gateway, request) is None
 
     def _has_run_out_of_servers(self) -> bool:
         """Tell whether so many servers could not take the call that the next is unlikely to."""
-        tried = self._request.tried
+        tried = self._request.attempts
         return len(tried) >= MAX_ATTEMPTS_IF_REFUSED and self._retry_state.refusals > 0
 
     def _start_attempt(self) -> None:
@@ -169,7 +172,7 @@
             gateway.counters.count("retry.budget_spent")
             return
         server = least_loaded(gateway, reachable(gateway, records) or records)
-        retry_state.left_out.fail(server.start)
+        retry_state.left_out.exclude_until_restart(server.start)
         retry_state.open_attempts += 1
         self._nursery.start_soon(self._attempt, server)
 
@@ -181,16 +184,18 @@
 
     def _on_late(self, server: ServerRecord) -> None:
         """Handle a late server, for which a concurrent attempt's retry is reserved."""
-        learn(self._gateway, self._request, server, Broke(Trouble.SILENT, TIMED_OUT))
+        record_failure(
+            self._gateway, self._request, server, OutcomeUnknown(FailureKind.SILENT, TIMED_OUT)
+        )
         self._send_event.send_nowait(_AttemptLate())
 
     async def _handle_outcome(
-        self, server: ServerRecord, outcome: WholeAnswer | NotRun | Broke
+        self, server: ServerRecord, outcome: WholeAnswer | NotRun | OutcomeUnknown
     ) -> WholeAnswer | Failure | None:
         """Record how an attempt ended; return the caller's result, or None if it is still open."""
         repeatable = self._request.route.repeatable
-        if isinstance(outcome, Broke):
-            await note_end(self._gateway, server, outcome)
+        if isinstance(outcome, OutcomeUnknown):
+            await check_for_crash(self._gateway, server, outcome)
         self._retry_state.count_outcome(self._gateway, server, outcome)
         match outcome:
             case WholeAnswer(answer=answer):
@@ -198,8 +203,8 @@
                     return outcome
                 self._last_result = outcome
             case NotRun(trouble=trouble):
-                self._retry_state.refusals += trouble is not Trouble.HELD
-            case Broke(reason=reason):
+                self._retry_state.refusals += trouble is not FailureKind.HELD
+            case OutcomeUnknown(reason=reason):
                 self._last_result = self._last_result or Failure(ResultCode.FATE_UNKNOWN, reason)
                 if not repeatable:
                     return self._last_result
@@ -210,13 +215,13 @@
     gateway: Gateway, request: Request, retry_state: RetryState
 ) -> list[ServerRecord]:
     """Return the servers that the request may still be sent to."""
-    left_out = retry_state.left_out.names(gateway.directory, now_ms())
+    left_out = retry_state.left_out.current(gateway.directory, now_ms())
     return candidates(gateway, request.service, left_out)
 
 
 def no_server_failure(gateway: Gateway, request: Request, message: str) -> Failure:
     """Return the refusal of a request that no server can take, with the time to retry."""
-    wait_ms = opens_in_ms(gateway, request.service)
+    wait_ms = hold_ends_in_ms(gateway, request.service)
     if wait_ms is None:
         return Failure(ResultCode.NO_SERVER, message, retry_after(gateway))
     message += f": all have asked for fewer requests, the first for {math.ceil(wait_ms)} ms more"
@@ -229,14 +234,14 @@
     server: ServerRecord,
     retry_state: RetryState,
     on_late: Callable[[ServerRecord], None],
-) -> WholeAnswer | NotRun | Broke:
+) -> WholeAnswer | NotRun | OutcomeUnknown:
     """Send the request to one server and read its complete answer.
 
     ``on_late`` is called when the answer is late and a retry is reserved; this attempt continues.
     """
     name = server.announcement.server
     began_at = now_ms()
-    left = request.left_ms(began_at)
+    left = request.remaining_ms(began_at)
 
     def has_other() -> bool:
         return bool(reachable_unlimited(gateway, _remaining_servers(gateway, request, retry_state)))
@@ -262,16 +267,18 @@
         rank=request.rank,
         resume_after=request.call.resume_after,
     )
-    gateway.standing.began(name)
-    outcome: WholeAnswer | NotRun | Broke | AnswerStarted = Broke(Trouble.SILENT, TIMED_OUT)
+    gateway.standing.request_started(name)
+    outcome: WholeAnswer | NotRun | OutcomeUnknown | AnswerStarted = OutcomeUnknown(
+        FailureKind.SILENT, TIMED_OUT
+    )
     try:
         with (
-            noted(gateway, request, server) as run,
+            track_attempt(gateway, request, server) as run,
             gateway.attempts.attempt(server, fail_over=fail_over) as attempt,
         ):
-            attempt.permit_wait_ms = permit_patience_ms(gateway, request, server)
-            usual_ms = gateway.standing.usual_ms([name], began_at)
-            attempt.expect_answer_within(whole_due_ms(usual_ms), began_at)
+            attempt.permit_wait_ms = max_permit_wait_ms(gateway, request, server)
+            usual_ms = gateway.standing.median_latency_ms([name], began_at)
+            attempt.expect_answer_within(answer_timeout_ms(usual_ms), began_at)
             with attempt.wait_scope(left / 1000):
                 outcome = await send(
                     gateway, dispatch, server, attempt, timeout_ms / 1000, max_idle_ms
@@ -280,22 +287,22 @@
                 give_up_at = began_at + timeout_ms
                 outcome = await _read_whole(gateway, server, outcome, attempt, give_up_at)
             run.end = run_end(outcome)
-        if attempt.end_reason and isinstance(outcome, Broke):
-            outcome = Broke(Trouble.BROKEN, attempt.end_reason, gone=True)
+        if attempt.end_reason and isinstance(outcome, OutcomeUnknown):
+            outcome = OutcomeUnknown(FailureKind.BROKEN, attempt.end_reason, server_lost=True)
     finally:
-        gateway.standing.ended(name)
+        gateway.standing.request_ended(name)
     now = now_ms()
     match outcome:
         case WholeAnswer(answer=answer):
-            request.note(name, str(answer.status), now)
-            gateway.directory.prove(*server.start, now)
-            gateway.crashes.answered(server.start, began_at, now)
+            request.record_attempt(name, str(answer.status), now)
+            gateway.directory.record_answer(*server.start, now)
+            gateway.crashes.record_answer(server.start, began_at, now)
             if answer.status >= 500:
-                gateway.standing.failed(name, Trouble.ERROR, now)
+                gateway.standing.record_failure(name, FailureKind.ERROR, now)
             else:
-                gateway.standing.succeeded(name, now - began_at, now)
+                gateway.standing.record_success(name, now - began_at, now)
         case _:
-            learn(gateway, request, server, outcome)
+            record_failure(gateway, request, server, outcome)
     return outcome
 
 
@@ -305,7 +312,7 @@
     started: AnswerStarted,
     attempt: Attempt,
     give_up_at: float,
-) -> WholeAnswer | Broke:
+) -> WholeAnswer | OutcomeUnknown:
     parts = []
     complete = False
     try:
@@ -319,7 +326,7 @@
     except PeerError as error:
         return connection_failure(error)
     except AttemptAbandonedError:
-        return Broke(Trouble.SILENT, TIMED_OUT)
+        return OutcomeUnknown(FailureKind.SILENT, TIMED_OUT)
     finally:
         if not complete:
             started.connection.cut()
--- a/siskinspoke/gateway/reaching.py
+++ b/siskinspoke/gateway/reaching.py
@@ -5,7 +5,7 @@
 import trio
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.transport.http1 import ServerConnection, connect
 
@@ -40,7 +40,7 @@
 ) -> ServerConnection | NoConnection:
     """Connect to a server, or return why there is no connection."""
     began = trio.current_time()
-    seconds = gateway.connects.give_up_ms / 1000
+    seconds = gateway.connect_timeout.connect_timeout_ms / 1000
     connection = await _race(gateway, server, seconds)
     took = trio.current_time() - began
     if connection is NoConnection.SILENT and took > seconds + STALL_SECONDS:
@@ -65,7 +65,7 @@
             opened.append(
                 await connect(announcement.host, announcement.port, gateway.settings.host, began)
             )
-            gateway.connects.took(now_ms() - began)
+            gateway.connect_timeout.record(now_ms() - began)
         except OSError:
             # The other connection would be refused as well.
             refused = True
@@ -97,7 +97,7 @@
 async def _connect(
     gateway: Gateway, server: ServerRecord, reported_by_peer: bool
 ) -> ServerConnection | NoConnection:
-    gateway.looks.began(server.start, now_ms())
+    gateway.probes.start(server.start, now_ms())
     finished = False
     try:
         found = await open_connection(gateway, server)
@@ -106,8 +106,8 @@
         if not finished:
             # The caller was cancelled.  A probe that is never ended would count as in progress
             # forever, and the server would never be used again.
-            gateway.looks.drop(server.start)
-    gateway.looks.ended(server.start, found is not NoConnection.SILENT, now_ms())
+            gateway.probes.cancel(server.start)
+    gateway.probes.finish(server.start, found is not NoConnection.SILENT, now_ms())
     match found:
         case NoConnection.SILENT:
             mark_unreachable(gateway, server, reported_by_peer)
@@ -124,11 +124,11 @@
 
 def _mark_reachable(gateway: Gateway, server: ServerRecord) -> None:
     announcement = server.announcement
-    if gateway.domains.reached(announcement.failure_domain):
+    if gateway.domains.record_success(announcement.failure_domain):
         gateway.log.note(
             "domain.back", domain=announcement.failure_domain, server=announcement.server
         )
-    if gateway.standing.reached(announcement.server):
+    if gateway.standing.record_connection(announcement.server):
         gateway.log.note(
             "server.reached", server=announcement.server, start=announcement.incarnation
         )
@@ -146,15 +146,15 @@
     announcement, now = server.announcement, now_ms()
     if gateway.directory.superseded(*server.start):
         return
-    gateway.looks.alarm(now)
+    gateway.probes.record_loss(now)
     is_news = not gateway.standing.is_unreachable(announcement.server)
-    gateway.standing.failed(announcement.server, Trouble.UNREACHABLE, now)
+    gateway.standing.record_failure(announcement.server, FailureKind.UNREACHABLE, now)
     ended = gateway.attempts.end_lost(*server.start)
-    if gateway.domains.unreached(announcement.failure_domain, announcement.server, now):
+    if gateway.domains.record_failure(announcement.failure_domain, announcement.server, now):
         gateway.log.note(
             "domain.cut", domain=announcement.failure_domain, server=announcement.server
         )
-        gateway.peers.cut(announcement.failure_domain)
+        gateway.peers.send_unreachable_domain(announcement.failure_domain)
     if not is_news:
         return
     gateway.counters.count("server.unreachable")
@@ -167,17 +167,17 @@
         told=reported_by_peer,
     )
     if not reported_by_peer:
-        gateway.peers.lost(announcement.server)
+        gateway.peers.send_unreachable_server(announcement.server)
 
 
-async def look(gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False) -> None:
+async def probe(gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False) -> None:
     """Probe whether a server can be reached, and pool the connection if it can."""
     found = await _connect(gateway, server, reported_by_peer)
     if isinstance(found, ServerConnection):
         gateway.pool.put(server, found)
 
 
-async def look_at(gateway: Gateway, server: ServerRecord) -> NoConnection | None:
+async def probe_now(gateway: Gateway, server: ServerRecord) -> NoConnection | None:
     """Probe a server now, and return why it cannot be reached, or None where it can."""
     found = await _connect(gateway, server, reported_by_peer=False)
     if isinstance(found, ServerConnection):
@@ -186,48 +186,48 @@
     return found
 
 
-def look_soon(gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False) -> None:
+def start_probe(gateway: Gateway, server: ServerRecord, reported_by_peer: bool = False) -> None:
     """Start a probe of a server where its result would be of use."""
     announcement, now = server.announcement, now_ms()
-    if gateway.domains.is_cut(announcement.failure_domain, now):
+    if gateway.domains.is_cut_off(announcement.failure_domain, now):
         # Servers of a partitioned failure domain are probed one at a time, to detect when it is
         # back.
         gateway.attempts.end_lost(*server.start)
-    elif gateway.looks.wanted(server.start, now):
-        gateway.looks.began(server.start, now)
-        gateway.chores.start_soon(look, gateway, server, reported_by_peer)
+    elif gateway.probes.should_probe(server.start, now):
+        gateway.probes.start(server.start, now)
+        gateway.nursery.start_soon(probe, gateway, server, reported_by_peer)
 
 
-def hear_lost(gateway: Gateway, name: str) -> None:
+def handle_loss_report(gateway: Gateway, name: str) -> None:
     """Handle the report of another VM that a server is unreachable."""
-    gateway.looks.alarm(now_ms())
+    gateway.probes.record_loss(now_ms())
     server = gateway.directory.latest(name)
     if server is not None and not gateway.standing.is_unreachable(name):
-        look_soon(gateway, server, reported_by_peer=True)
+        start_probe(gateway, server, reported_by_peer=True)
 
 
-async def look_forever(gateway: Gateway) -> None:
+async def probe_overdue_forever(gateway: Gateway) -> None:
     """Probe the servers whose answers are overdue, and recheck late attempts, forever."""
     while True:
         await gateway.attempts.wait_until_open()
-        patience = gateway.looks.patience(now_ms())
+        patience = gateway.probes.timeout_factor(now_ms())
         quiet = gateway.attempts.next_check_ms(now_ms(), patience) / 1000
         await trio.sleep(min(MAX_CHECK_SECONDS, max(MIN_CHECK_SECONDS, quiet)))
         gateway.attempts.recheck(now_ms())
-        patience = gateway.looks.patience(now_ms())
+        patience = gateway.probes.timeout_factor(now_ms())
         for server in gateway.attempts.overdue(now_ms(), patience):
-            look_soon(gateway, server)
+            start_probe(gateway, server)
 
 
-async def look_again_forever(gateway: Gateway) -> None:
+async def probe_unreachable_forever(gateway: Gateway) -> None:
     """Probe unreachable servers again until they can be reached or are gone.
 
     Otherwise a client's request would be the first to find that a server is back or still lost.
     """
     while True:
         await trio.sleep(PROBE_AGAIN_SECONDS)
-        gateway.looks.forget(now_ms())
+        gateway.probes.prune(now_ms())
         for name in gateway.standing.unreachable():
             server = gateway.directory.latest(name)
-            if server is not None and gateway.directory.is_believed(server, now_ms()):
-                look_soon(gateway, server)
+            if server is not None and gateway.directory.is_routable(server, now_ms()):
+                start_probe(gateway, server)
--- a/siskinspoke/gateway/relaying.py
+++ b/siskinspoke/gateway/relaying.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.placing import Assignment
@@ -12,7 +12,7 @@
 from siskinspoke.gateway.upstream import (
     AnswerStarted,
     AttemptAbandonedError,
-    Broke,
+    OutcomeUnknown,
     connection_failure,
     read_body_part,
     release_connection,
@@ -71,12 +71,12 @@
     reconsider: Reconsider | None = None
 
 
-def abandoned_outcome(attempt: Attempt) -> Broke:
+def abandoned_outcome(attempt: Attempt) -> OutcomeUnknown:
     """Return the outcome of an abandoned attempt: silence, unless something else ended it."""
     if not attempt.end_reason:
-        return Broke(Trouble.SILENT, "the stream fell silent")
-    trouble = Trouble.BROKEN if attempt.server_lost else Trouble.SILENT
-    return Broke(trouble, attempt.end_reason, attempt.server_lost)
+        return OutcomeUnknown(FailureKind.SILENT, "the stream fell silent")
+    trouble = FailureKind.BROKEN if attempt.server_lost else FailureKind.SILENT
+    return OutcomeUnknown(trouble, attempt.end_reason, attempt.server_lost)
 
 
 def silent_ms(request: Request) -> float:
@@ -86,7 +86,7 @@
 
 async def relay_stream(
     gateway: Gateway, request: Request, relay: Relay, stream: StreamAttempt
-) -> StreamCompleted | WholeAnswer | Broke:
+) -> StreamCompleted | WholeAnswer | OutcomeUnknown:
     """Relay the events of one server, or return its answer if that is not a stream."""
     complete = False
     started = stream.answer_started
@@ -123,7 +123,7 @@
 
 async def _relay_events(
     gateway: Gateway, request: Request, relay: Relay, stream: StreamAttempt
-) -> StreamCompleted | Broke:
+) -> StreamCompleted | OutcomeUnknown:
     splitter = EventSplitter()
     assignment = stream.assignment
     first = True
@@ -136,7 +136,9 @@
         )
         if data is None:
             if splitter.rest:
-                return Broke(Trouble.BROKEN, "the stream ended in the middle of an event")
+                return OutcomeUnknown(
+                    FailureKind.BROKEN, "the stream ended in the middle of an event"
+                )
             return StreamCompleted()
         events = splitter.feed(data)
         if not events:
@@ -154,7 +156,7 @@
             stream.attempt.is_streaming = True
             stream.attempt.reconsider = stream.reconsider
             if stream.work is not None:
-                gateway.peers.wrote(stream.work)
+                gateway.peers.mark_first_token(stream.work)
             _record_first_event(gateway, request, stream, now)
         fresh = [event for event in events if _is_new(relay, event)]
         if fresh:
@@ -179,8 +181,8 @@
 ) -> None:
     assignment = stream.assignment
     if assignment.job is not None and assignment.job.short:
-        gateway.foresight.came(assignment.expected_ms, now - stream.sent_at)
-    if request.first_ms is None:
-        request.first_ms = now - request.arrived_ms
-        gateway.latencies.record("first_token", request.first_ms)
-    gateway.directory.prove(*assignment.server.start, now)
+        gateway.foresight.observe(assignment.expected_ms, now - stream.sent_at)
+    if request.first_token_ms is None:
+        request.first_token_ms = now - request.arrived_ms
+        gateway.latencies.record("first_token", request.first_token_ms)
+    gateway.directory.record_answer(*assignment.server.start, now)
--- a/siskinspoke/gateway/reports.py
+++ b/siskinspoke/gateway/reports.py
@@ -13,13 +13,13 @@
 import trio
 import xxhash
 
-from siskinspoke.coordination.books import Books
+from siskinspoke.coordination.books import WorkTable
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.exchange import ask
 from siskinspoke.gateway.lives import handle_announcement
-from siskinspoke.gateway.reaching import look, look_soon
+from siskinspoke.gateway.reaching import probe, start_probe
 
 POLL_INTERVAL_SECONDS = 1.0
 REPORT_TIMEOUT_SECONDS = 0.4
@@ -79,10 +79,10 @@
                 nursery.start_soon(_poll, gateway, engines[name])
 
 
-def needs_polling(books: Books, engine: str) -> bool:
+def needs_polling(books: WorkTable, engine: str) -> bool:
     """Return whether an engine has work, or was slow in its last report."""
     engine_load = books.engine(engine)
-    return bool(engine_load.works) or engine_load.pace > MAX_HEALTHY_PACE
+    return bool(engine_load.in_flight) or engine_load.slowdown > MAX_HEALTHY_PACE
 
 
 def _engines(gateway: Gateway) -> list[ServerRecord]:
@@ -91,7 +91,7 @@
         return []
     services = [item.name for item in gateway.table.services.values() if item.engine is not None]
     names = [server for service in services for server in gateway.cells.servers(service)]
-    return gateway.directory.believed_among(names, now_ms())
+    return gateway.directory.routable_among(names, now_ms())
 
 
 async def _poll(gateway: Gateway, record: ServerRecord) -> None:
@@ -107,23 +107,23 @@
             # The engine's next announcement, which may be a second away, has a higher number.
             incarnation = report.started
             handle_announcement(gateway, announcement._replace(incarnation=incarnation, seq=0))
-        gateway.directory.prove(announcement.server, incarnation, now_ms())
+        gateway.directory.record_answer(announcement.server, incarnation, now_ms())
         gateway.peers.update_pace(announcement.server, report.pace)
-    elif not gateway.domains.is_cut(announcement.failure_domain, now_ms()):
-        gateway.standing.failed(announcement.server, Trouble.SILENT, now_ms())
-        look_soon(gateway, record)
+    elif not gateway.domains.is_cut_off(announcement.failure_domain, now_ms()):
+        gateway.standing.record_failure(announcement.server, FailureKind.SILENT, now_ms())
+        start_probe(gateway, record)
 
 
 async def probe_unreachable_domains_forever(gateway: Gateway) -> None:
     """Probe unreachable failure domains to detect when they are back."""
     while True:
-        unreachable = gateway.domains.cut_now(now_ms())
+        unreachable = gateway.domains.cut_off(now_ms())
         await trio.sleep(UNREACHABLE_PROBE_SECONDS if unreachable else UNREACHABLE_CHECK_SECONDS)
-        for domain in gateway.domains.cut_now(now_ms()):
+        for domain in gateway.domains.cut_off(now_ms()):
             servers = [
                 record
                 for record in gateway.directory.live(now_ms())
                 if record.announcement.failure_domain == domain
             ]
             if servers:
-                await look(gateway, gateway.rng.choice(servers))
+                await probe(gateway, gateway.rng.choice(servers))
--- a/siskinspoke/gateway/reservations.py
+++ b/siskinspoke/gateway/reservations.py
@@ -47,7 +47,7 @@
     full: bool
 
 
-class Held(NamedTuple):
+class Reservation(NamedTuple):
     """A reservation on one engine."""
 
     server: ServerRecord
@@ -55,7 +55,7 @@
     tokens: int
 
 
-async def _order(gateway: Gateway, reservation: Held, release: bool) -> int | None:
+async def _order(gateway: Gateway, reservation: Reservation, release: bool) -> int | None:
     """Send one order; return the status of its answer, or None where there is none."""
     wire = gateway.wire
     server = reservation.server.announcement
@@ -70,7 +70,7 @@
     return None if reply is None else reply.status
 
 
-def _has_restarted(gateway: Gateway, reservation: Held) -> bool:
+def _has_restarted(gateway: Gateway, reservation: Reservation) -> bool:
     """Tell whether the engine has restarted since, and holds nothing from before.
 
     A renewal that reached the new process would reserve memory there that nobody uses.
@@ -82,10 +82,10 @@
 async def reserved(gateway: Gateway, name: str, members: Sequence[Member]):
     """Reserve a group's memory while the context is open; yield ReservationRefused on failure."""
     wanted = sorted(
-        (Held(item.server, name, item.tokens) for item in members if item.tokens),
+        (Reservation(item.server, name, item.tokens) for item in members if item.tokens),
         key=lambda reservation: reservation.server.announcement.server,
     )
-    asked: list[Held] = []
+    asked: list[Reservation] = []
     unconfirmed: set[str] = set()
     scope = trio.CancelScope()
     try:
@@ -105,21 +105,21 @@
                 )
                 yield ReservationRefused(reservation.server.announcement.server, status is not None)
                 return
-        gateway.chores.start_soon(_renew_forever, gateway, wanted, unconfirmed, scope)
+        gateway.nursery.start_soon(_renew_forever, gateway, wanted, unconfirmed, scope)
         yield tuple(wanted)
     finally:
         scope.cancel()
         for reservation in asked:
             is_unconfirmed = reservation.server.announcement.server in unconfirmed
-            gateway.chores.start_soon(_release, gateway, reservation, is_unconfirmed)
+            gateway.nursery.start_soon(_release, gateway, reservation, is_unconfirmed)
 
 
 async def _renew_forever(
-    gateway: Gateway, group: Sequence[Held], unconfirmed: set[str], scope: trio.CancelScope
+    gateway: Gateway, group: Sequence[Reservation], unconfirmed: set[str], scope: trio.CancelScope
 ) -> None:
     """Renew the leases of a group; record the members that did not answer."""
 
-    async def renew(reservation: Held) -> None:
+    async def renew(reservation: Reservation) -> None:
         if _has_restarted(gateway, reservation):
             return
         if await _order(gateway, reservation, release=False) is None:
@@ -133,12 +133,12 @@
                     nursery.start_soon(renew, reservation)
 
 
-async def _release(gateway: Gateway, reservation: Held, unsure: bool) -> None:
+async def _release(gateway: Gateway, reservation: Reservation, is_unconfirmed: bool) -> None:
     """Release memory, repeatedly where an earlier order may still be carried out."""
     last = trio.current_time() + LATE_EXECUTION_SECONDS
     while not _has_restarted(gateway, reservation):
         status = await _order(gateway, reservation, release=True)
-        unsure = unsure or status is None
-        if not unsure or trio.current_time() > last:
+        is_unconfirmed = is_unconfirmed or status is None
+        if not is_unconfirmed or trio.current_time() > last:
             return
         await trio.sleep(RELEASE_RETRY_SECONDS)
--- a/siskinspoke/gateway/restrictions.py
+++ b/siskinspoke/gateway/restrictions.py
@@ -10,7 +10,7 @@
 MIN_FAILURE_STATUS = 500
 
 
-def hear_answer(
+def apply_restrictions(
     gateway: Gateway, request_id: str, server: ServerRecord, response: Answer, sent_at: float
 ) -> None:
     """Apply the restrictions of a response, unless it is a stale one for another request.
@@ -43,9 +43,9 @@
     rate, now = response.restrictions.rate_limit, now_ms()
     known = gateway.rate_limits.find(server.start)
     if rate is not None:
-        changed = gateway.rate_limits.name(server.start, rate, now)
+        changed = gateway.rate_limits.record(server.start, rate, now)
     elif _lifts_omitted(response):
-        changed = gateway.rate_limits.lift(server.start, sent_at, now)
+        changed = gateway.rate_limits.remove(server.start, sent_at, now)
     else:
         return
     if not changed:
@@ -68,7 +68,7 @@
     gateway: Gateway, request_id: str, server: ServerRecord, back_off_ms: float
 ) -> None:
     name, incarnation = server.start
-    gateway.back_offs.ask(server.start, back_off_ms, now_ms())
+    gateway.back_offs.add(server.start, back_off_ms, now_ms())
     gateway.counters.count("back_off.asked")
     gateway.log.note(
         "server.back_off",
@@ -83,7 +83,7 @@
     if gateway.directory.has_left(server.announcement.server):
         return
     name, incarnation = server.start
-    gateway.directory.retire(name, incarnation)
+    gateway.directory.mark_leaving(name, incarnation)
     gateway.counters.count("server.said_leaving")
     gateway.log.note("server.leaving", server=name, start=incarnation, request=request_id)
 
@@ -92,7 +92,7 @@
     """Apply a server's rate limit that was reported by another VM."""
     start, at = (update.server, update.incarnation), now_ms() - update.age_ms
     if update.rate is None:
-        changed = gateway.rate_limits.lift(start, at, at)
+        changed = gateway.rate_limits.remove(start, at, at)
     else:
-        changed = gateway.rate_limits.name(start, update.rate, at)
+        changed = gateway.rate_limits.record(start, update.rate, at)
     gateway.counters.count("rate_limit.told", changed)
--- a/siskinspoke/gateway/sending.py
+++ b/siskinspoke/gateway/sending.py
@@ -12,7 +12,7 @@
 from siskinspoke.coordination.rate_limits import RateLimit
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, now_ms
-from siskinspoke.gateway.permits import Denied, Found
+from siskinspoke.gateway.permits import Decision, Denied
 
 RATE_LIMIT = "rate limit"
 BACK_OFF = "back-off"
@@ -22,11 +22,11 @@
 class Hold(NamedTuple):
     """Why a server gets no request from this VM now, and until when, in milliseconds."""
 
-    why: str
+    reason: str
     until: float
 
 
-def held(gateway: Gateway, server: ServerRecord, now: float) -> Hold | None:
+def find_hold(gateway: Gateway, server: ServerRecord, now: float) -> Hold | None:
     """Return the hold that applies to a server now, or None."""
     known = gateway.directory.find(*server.start)
     if known is not None and known.announcement.leaving:
@@ -34,7 +34,7 @@
     back_off_until = gateway.back_offs.until(server.start)
     if back_off_until > now:
         return Hold(BACK_OFF, back_off_until)
-    closed_until = gateway.rate_limits.closed_until(server.start)
+    closed_until = gateway.rate_limits.blocked_until(server.start)
     if closed_until > now:
         return Hold(RATE_LIMIT, closed_until)
     return None
@@ -45,31 +45,31 @@
     return bool(gateway.back_offs or gateway.rate_limits)
 
 
-def not_held(gateway: Gateway, records: Iterable[ServerRecord]) -> list[ServerRecord]:
+def without_hold(gateway: Gateway, records: Iterable[ServerRecord]) -> list[ServerRecord]:
     """Return the servers, out of some that are not leaving, to which a request may be sent."""
     if not _restricts_any(gateway):
         return list(records)
     now = now_ms()
-    return [record for record in records if held(gateway, record, now) is None]
+    return [record for record in records if find_hold(gateway, record, now) is None]
 
 
-def unlimited(gateway: Gateway, records: Iterable[ServerRecord]) -> list[ServerRecord]:
+def without_rate_limit(gateway: Gateway, records: Iterable[ServerRecord]) -> list[ServerRecord]:
     """Return the servers that need no permit: one may be denied after the other server was left."""
     return [item for item in records if gateway.rate_limits.find(item.start) is None]
 
 
-def opens_in_ms(gateway: Gateway, service: str) -> float | None:
+def hold_ends_in_ms(gateway: Gateway, service: str) -> float | None:
     """Return when a service's first server takes requests again, None unless all are on hold."""
     if not _restricts_any(gateway):
         return None
     now = now_ms()
-    waits = [held(gateway, record, now) for record in gateway.directory.believed(service, now)]
+    waits = [find_hold(gateway, record, now) for record in gateway.directory.routable(service, now)]
     if not waits or None in waits:
         return None
     return min(wait.until for wait in waits) - now
 
 
-async def hold_back(
+async def check_hold(
     gateway: Gateway, request_id: str, server: ServerRecord, attempt: Attempt
 ) -> Hold | None:
     """Return the hold that forbids sending a request now; obtain a permit where one is needed.
@@ -79,13 +79,13 @@
     limit = gateway.rate_limits.find(server.start)
     now = now_ms()
     has_permit = attempt.permit is not None and now < attempt.permit.until
-    hold = held(gateway, server, now)
-    if hold is not None and not (has_permit and hold.why == RATE_LIMIT):
+    hold = find_hold(gateway, server, now)
+    if hold is not None and not (has_permit and hold.reason == RATE_LIMIT):
         return hold
     if limit is None or has_permit:
         return None
     patience_ms, attempt.permit_wait_ms = attempt.permit_wait_ms, 0.0
-    permit, found = await gateway.permits.obtain(gateway.questions, server, limit, patience_ms)
+    permit, found = await gateway.permits.obtain(gateway.queries, server, limit, patience_ms)
     _log_permit(gateway, request_id, server, limit, found, now)
     if isinstance(permit, Denied):
         gateway.counters.count("permit.refused")
@@ -99,7 +99,7 @@
     request_id: str,
     server: ServerRecord,
     limit: RateLimit,
-    found: Found,
+    found: Decision,
     asked_at: float,
 ) -> None:
     """Log a permit request: its rate limit, the VM that decided, and the outcome."""
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -1,13 +1,13 @@
 """Selection of backend servers for a request, and evaluation of its failed attempts."""
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.sending import not_held, opens_in_ms, unlimited
-from siskinspoke.gateway.upstream import Broke, NotRun
+from siskinspoke.gateway.sending import hold_ends_in_ms, without_hold, without_rate_limit
+from siskinspoke.gateway.upstream import NotRun, OutcomeUnknown
 
 # Extra latency of a server in another failure domain: two more network crossings.
-REMOTE_MS = 3.0
+REMOTE_DOMAIN_MS = 3.0
 # Fraction of its target latency that a request may wait for a permit.
 PERMIT_WAIT_FRACTION = 0.5
 
@@ -16,9 +16,9 @@
     """Return a service of the route, chosen at random by weight among those that have servers."""
     now = now_ms()
     shares = [share for share in request.route.shares if share.weight > 0]
-    served = [share for share in shares if gateway.directory.is_served(share.service, now)]
+    served = [share for share in shares if gateway.directory.has_live_server(share.service, now)]
     if len(served) > 1:
-        open_now = [share for share in served if opens_in_ms(gateway, share.service) is None]
+        open_now = [share for share in served if hold_ends_in_ms(gateway, share.service) is None]
         served = open_now or served
     chosen = gateway.rng.choices(served or shares, [share.weight for share in served or shares])
     return chosen[0].service
@@ -26,15 +26,15 @@
 
 def candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
     """Return the servers that may get a request now, restricted to the healthiest."""
-    known = gateway.directory.believed(service, now_ms())
-    return _usable(gateway, not_held(gateway, known), excluded)
+    known = gateway.directory.routable(service, now_ms())
+    return _usable(gateway, without_hold(gateway, known), excluded)
 
 
 def cell_candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
     """Return the servers of this VM's cell that may get a request now."""
     servers = gateway.cells.servers(service)
-    known = gateway.directory.believed_among(servers, now_ms())
-    return _usable(gateway, not_held(gateway, known), excluded)
+    known = gateway.directory.routable_among(servers, now_ms())
+    return _usable(gateway, without_hold(gateway, known), excluded)
 
 
 def reachable(gateway: Gateway, records: list[ServerRecord]) -> list[ServerRecord]:
@@ -48,16 +48,16 @@
         record
         for record in records
         if not gateway.standing.is_unreachable(record.announcement.server)
-        and not gateway.domains.is_cut(record.announcement.failure_domain, now)
+        and not gateway.domains.is_cut_off(record.announcement.failure_domain, now)
     ]
 
 
 def reachable_unlimited(gateway: Gateway, records: list[ServerRecord]) -> list[ServerRecord]:
     """Return the servers to which a request may be moved from another server."""
-    return reachable(gateway, unlimited(gateway, records))
+    return reachable(gateway, without_rate_limit(gateway, records))
 
 
-def permit_patience_ms(gateway: Gateway, request: Request, server: ServerRecord) -> float:
+def max_permit_wait_ms(gateway: Gateway, request: Request, server: ServerRecord) -> float:
     """Return how long a request may wait for a permit; 0 if another server needs no permit.
 
     The wait is limited to a fraction of the target latency. After that the request is refused, in
@@ -83,10 +83,10 @@
     reachable = {
         name: record
         for name, record in by_name.items()
-        if not gateway.domains.is_cut(record.announcement.failure_domain, now)
+        if not gateway.domains.is_cut_off(record.announcement.failure_domain, now)
     }
     by_name = reachable or by_name
-    usable = gateway.standing.usable(by_name, now)
+    usable = gateway.standing.available(by_name, now)
     return [by_name[name] for name in usable]
 
 
@@ -109,27 +109,29 @@
     """
     now = now_ms()
     names = [record.announcement.server for record in records]
-    typical_ms = gateway.standing.usual_ms(names, now)
+    typical_ms = gateway.standing.median_latency_ms(names, now)
     compared = records if len(records) <= 4 else gateway.rng.sample(records, 2)
     shuffled = gateway.rng.sample(compared, len(compared))
     return min(
         shuffled,
-        key=lambda record: gateway.standing.load_ms(record.announcement.server, now, typical_ms),
+        key=lambda record: gateway.standing.expected_ms(
+            record.announcement.server, now, typical_ms
+        ),
     )
 
 
-def learn(
-    gateway: Gateway, request: Request, record: ServerRecord, outcome: NotRun | Broke
+def record_failure(
+    gateway: Gateway, request: Request, record: ServerRecord, outcome: NotRun | OutcomeUnknown
 ) -> None:
     """Update the state of a server after a failed attempt."""
     now = now_ms()
     server, incarnation = record.start
     gateway.counters.count(f"attempt.{outcome.trouble.value}")
-    if outcome.trouble is Trouble.HELD:
+    if outcome.trouble is FailureKind.HELD:
         request.held.append(server)
         return
-    request.note(server, outcome.reason, now)
-    if isinstance(outcome, Broke):
+    request.record_attempt(server, outcome.reason, now)
+    if isinstance(outcome, OutcomeUnknown):
         gateway.log.note(
             "attempt.broke",
             request=request.call.id,
@@ -143,8 +145,12 @@
     if gateway.directory.superseded(server, incarnation):
         # The failed process is gone; its failure says nothing about the new one.
         return
-    if isinstance(outcome, NotRun) and outcome.trouble is Trouble.UNREACHABLE and outcome.arrived:
-        gateway.directory.retire(server, incarnation)
+    if (
+        isinstance(outcome, NotRun)
+        and outcome.trouble is FailureKind.UNREACHABLE
+        and outcome.arrived
+    ):
+        gateway.directory.mark_leaving(server, incarnation)
         gateway.log.note("server.misdirected", server=server, request=request.call.id)
         return
     faulty, trouble = server, outcome.trouble
@@ -153,10 +159,10 @@
     if isinstance(outcome, NotRun) and outcome.at_fault is not None:
         faulty = _server_at(gateway, outcome.at_fault) or server
         # This VM may well reach that server, so a probe from here would prove nothing.
-        trouble = Trouble.SILENT
-    was_excluded = gateway.standing.is_aside(faulty, now)
-    gateway.standing.failed(faulty, trouble, now)
-    if gateway.standing.is_aside(faulty, now) and not was_excluded:
+        trouble = FailureKind.SILENT
+    was_excluded = gateway.standing.is_ejected(faulty, now)
+    gateway.standing.record_failure(faulty, trouble, now)
+    if gateway.standing.is_ejected(faulty, now) and not was_excluded:
         gateway.log.note(
             "server.aside",
             server=faulty,
@@ -168,7 +174,7 @@
 
 def _server_at(gateway: Gateway, address: str) -> str | None:
     """Return the server at an address."""
-    for record in gateway.directory.all_known():
+    for record in gateway.directory.all_records():
         announcement = record.announcement
         if f"{announcement.host}:{announcement.port}" == address and not announcement.leaving:
             return announcement.server
--- a/siskinspoke/gateway/streams.py
+++ b/siskinspoke/gateway/streams.py
@@ -7,15 +7,15 @@
 
 from siskinspoke.coordination.books import Work
 from siskinspoke.coordination.crash_watch import RunEnd
-from siskinspoke.coordination.liveness import event_due_ms, first_due_ms
-from siskinspoke.coordination.moving import Prospect, leaves
-from siskinspoke.coordination.passes import read_ms
-from siskinspoke.coordination.second_tries import doubt_after_ms, move
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.liveness import event_timeout_ms, first_token_timeout_ms
+from siskinspoke.coordination.moving import PauseForecast, should_move
+from siskinspoke.coordination.passes import prefill_ms
+from siskinspoke.coordination.second_tries import decide_retry, first_check_after_ms
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.core.codes import Failure, ResultCode
-from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, RECHECK_SECONDS, MOVED, Attempt
+from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, MOVED, RECHECK_SECONDS, Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.crashes import note_end, noted, quarantine_of
+from siskinspoke.gateway.crashes import check_for_crash, check_quarantine, track_attempt
 from siskinspoke.gateway.onward import Failover, PlannedAttempt, RetryObstacle, RetryState
 from siskinspoke.gateway.placing import (
     ISOLATION_CRASHES,
@@ -36,14 +36,20 @@
     relay_stream,
 )
 from siskinspoke.gateway.reservations import Member, ReservationRefused, reserved
-from siskinspoke.gateway.sending import hold_back
+from siskinspoke.gateway.sending import check_hold
 from siskinspoke.gateway.servers import (
     cell_candidates,
     choose_service,
-    learn,
-    permit_patience_ms,
+    max_permit_wait_ms,
+    record_failure,
+)
+from siskinspoke.gateway.upstream import (
+    AnswerStarted,
+    NotRun,
+    OutcomeUnknown,
+    not_run_on_hold,
+    send,
 )
-from siskinspoke.gateway.upstream import AnswerStarted, Broke, NotRun, not_run_on_hold, send
 from siskinspoke.gateway.wire import Dispatch, Helper
 from siskinspoke.transport.http1 import ClientConnection
 
@@ -67,7 +73,7 @@
 ) -> WholeAnswer | Failure | None:
     """Relay a stream; return an answer that is still to be sent, or None if all was sent."""
     request.service = choose_service(gateway, request)
-    quarantine = await quarantine_of(gateway, request)
+    quarantine = await check_quarantine(gateway, request)
     if quarantine is not None:
         return quarantine.refusal
     gateway.budget.first_attempt(request.service, now_ms())
@@ -85,8 +91,8 @@
     """Try one assignment after another until the stream is complete or no retry is allowed."""
     last: WholeAnswer | Failure | None = None
     obstacle = RetryObstacle.TRIES
-    while retry_state.has_attempts_left(len(request.tried)):
-        if last is not None and await quarantine_of(gateway, request) is not None:
+    while retry_state.has_attempts_left(len(request.attempts)):
+        if last is not None and await check_quarantine(gateway, request) is not None:
             obstacle = RetryObstacle.QUARANTINE
             break
         planned = await _plan_attempt(gateway, request, relay, retry_state)
@@ -103,11 +109,11 @@
                 return outcome
             case WholeAnswer():
                 last = outcome
-            case Broke(reason=reason):
+            case OutcomeUnknown(reason=reason):
                 last = last or Failure(ResultCode.FATE_UNKNOWN, reason)
-                await note_end(gateway, assignment.server, outcome)
+                await check_for_crash(gateway, assignment.server, outcome)
         _record_outcome(gateway, retry_state, assignment, outcome)
-        if isinstance(outcome, Broke) and not request.route.repeatable:
+        if isinstance(outcome, OutcomeUnknown) and not request.route.repeatable:
             obstacle = RetryObstacle.NOT_RETRYABLE
             break
         if retry_state.runs >= request.route.max_attempts:
@@ -129,28 +135,28 @@
     gateway: Gateway,
     retry_state: RetryState,
     assignment: Assignment,
-    outcome: WholeAnswer | NotRun | Broke,
+    outcome: WholeAnswer | NotRun | OutcomeUnknown,
 ) -> None:
     """Count what an attempt used up, and exclude servers that must not get the request again."""
     retry_state.count_outcome(gateway, assignment.server, outcome)
     match outcome:
-        case NotRun(trouble=Trouble.HELD):
-            retry_state.left_out.put_off(assignment.name, now_ms())
+        case NotRun(trouble=FailureKind.HELD):
+            retry_state.left_out.exclude_temporarily(assignment.name, now_ms())
         case NotRun(member=str(member)):
             # The other members of the group may be healthy, including the writing server.
-            retry_state.left_out.put_off(member, now_ms())
+            retry_state.left_out.exclude_temporarily(member, now_ms())
             retry_state.undelivered += 1
         case NotRun(arrived=arrived, at_fault=at_fault):
             retry_state.undelivered += not arrived
             if at_fault is None:
-                retry_state.left_out.put_off(assignment.name, now_ms())
+                retry_state.left_out.exclude_temporarily(assignment.name, now_ms())
             else:
                 # The engines may be partitioned from each other while this VM reaches both.
                 retry_state.local_only = True
-        case Broke(trouble=Trouble.SILENT):
-            retry_state.left_out.put_off(assignment.name, now_ms())
+        case OutcomeUnknown(trouble=FailureKind.SILENT):
+            retry_state.left_out.exclude_temporarily(assignment.name, now_ms())
         case _:
-            retry_state.left_out.fail(assignment.server.start)
+            retry_state.left_out.exclude_until_restart(assignment.server.start)
 
 
 async def _plan_attempt(
@@ -164,9 +170,9 @@
     Anything else is refused at once.
     """
     logged: RetryObstacle | None = None
-    isolation_deadline = now_ms() + ISOLATION_WAIT_SHARE * request.left_ms(now_ms())
+    isolation_deadline = now_ms() + ISOLATION_WAIT_SHARE * request.remaining_ms(now_ms())
     while (planned := retry_state.take_planned(gateway)) is None:
-        left_out = retry_state.left_out.names(gateway.directory, now_ms())
+        left_out = retry_state.left_out.current(gateway.directory, now_ms())
         may_wait = now_ms() < isolation_deadline
         assignment = await assign(
             gateway, request, relay.last_event_at, left_out, retry_state.local_only, may_wait
@@ -195,24 +201,24 @@
     if assignment.job is None:
         return PlannedAttempt(assignment, None, now)
     work = Work(
-        assignment.job, assignment.names, now, assignment.held_tokens, alone=assignment.isolated
+        assignment.job, assignment.names, now, assignment.held_tokens, exclusive=assignment.isolated
     )
-    return PlannedAttempt(assignment, gateway.peers.began(work), now)
+    return PlannedAttempt(assignment, gateway.peers.begin_work(work), now)
 
 
 def _log_cut(gateway: Gateway, request: Request, relay: Relay, obstacle: RetryObstacle) -> None:
     """Log the state at which a stream that had begun was truncated."""
     now = now_ms()
-    server = request.tried[-1].server
+    server = request.attempts[-1].server
     gateway.counters.count(f"stream.cut.{obstacle.value}")
     gateway.log.note(
         "stream.cut",
         request=request.call.id,
         why=obstacle.value,
         server=server,
-        outcome=request.tried[-1].outcome,
+        outcome=request.attempts[-1].outcome,
         silent=None if relay.last_event_at is None else round(now - relay.last_event_at),
-        left=round(request.left_ms(now)),
+        left=round(request.remaining_ms(now)),
         leaving=gateway.directory.has_left(server),
         unreachable=gateway.standing.is_unreachable(server),
         version=request.version,
@@ -230,25 +236,27 @@
     planned: PlannedAttempt,
     relay: Relay,
     retry_state: RetryState,
-) -> StreamCompleted | WholeAnswer | NotRun | Broke:
+) -> StreamCompleted | WholeAnswer | NotRun | OutcomeUnknown:
     """Send the request to one assignment and relay its answer."""
     assignment, work = planned.assignment, planned.work
     began_at = now_ms()
     request.engines = 1 + len(assignment.helpers)
-    request.expected_ms = assignment.expected_ms
+    request.expected_first_token_ms = assignment.expected_ms
     request.considered, request.idle = assignment.considered, assignment.idle
     _log_group(gateway, request, assignment)
     failover = _failover(gateway, request, assignment, relay, retry_state)
-    gateway.standing.began(assignment.name)
-    outcome: StreamCompleted | WholeAnswer | NotRun | Broke = Broke(Trouble.SILENT, "given up")
+    gateway.standing.request_started(assignment.name)
+    outcome: StreamCompleted | WholeAnswer | NotRun | OutcomeUnknown = OutcomeUnknown(
+        FailureKind.SILENT, "given up"
+    )
     try:
         async with AsyncExitStack() as stack:
-            run = stack.enter_context(noted(gateway, request, *assignment.servers))
+            run = stack.enter_context(track_attempt(gateway, request, *assignment.servers))
             attempt = stack.enter_context(
                 gateway.attempts.attempt(*assignment.servers, fail_over=failover.fail_over)
             )
-            attempt.permit_wait_ms = permit_patience_ms(gateway, request, assignment.server)
-            hold = await hold_back(gateway, request.call.id, assignment.server, attempt)
+            attempt.permit_wait_ms = max_permit_wait_ms(gateway, request, assignment.server)
+            hold = await check_hold(gateway, request.call.id, assignment.server, attempt)
             if hold is not None:
                 outcome = not_run_on_hold(hold)
                 run.end = RunEnd.NOT_RUN
@@ -257,7 +265,7 @@
                 _reserve_memory(gateway, assignment, work)
             )
             if isinstance(reservation, ReservationRefused):
-                trouble = Trouble.BUSY if reservation.full else Trouble.UNREACHABLE
+                trouble = FailureKind.BUSY if reservation.full else FailureKind.UNREACHABLE
                 reason = f"memory could not be reserved at {reservation.server}"
                 outcome = NotRun(trouble, reason, arrived=False, member=reservation.server)
                 run.end = RunEnd.NOT_RUN
@@ -276,7 +284,7 @@
             if isinstance(outcome, AnswerStarted):
                 # The answer may arrive in the tick in which the next attempt was planned.
                 retry_state.release(gateway, request)
-                due = event_due_ms(decode_pass_ms(gateway, request, assignment))
+                due = event_timeout_ms(decode_pass_ms(gateway, request, assignment))
                 give_up_at = began_at + seconds * 1000
                 reconsider = _prefill_check(
                     gateway, request, assignment, relay, retry_state, failover
@@ -288,9 +296,9 @@
             run.end = RunEnd.WHOLE if isinstance(outcome, StreamCompleted) else run_end(outcome)
             return outcome
     finally:
-        gateway.standing.ended(assignment.name)
+        gateway.standing.request_ended(assignment.name)
         if work is not None:
-            gateway.peers.ended(work)
+            gateway.peers.end_work(work)
         _record_attempt(gateway, request, assignment, outcome, began_at)
 
 
@@ -311,7 +319,7 @@
         tokens=assignment.job.tokens,
         held=assignment.held_tokens,
         expected=round(assignment.expected_ms),
-        read=round(read_ms(assignment.costs, assignment.job.tokens, len(assignment.servers))),
+        read=round(prefill_ms(assignment.costs, assignment.job.tokens, len(assignment.servers))),
     )
 
 
@@ -329,7 +337,7 @@
             gateway,
             request,
             relay.last_event_at,
-            retry_state.left_out.names(gateway.directory, now_ms()) | {assignment.name},
+            retry_state.left_out.current(gateway.directory, now_ms()) | {assignment.name},
             retry_state.local_only,
             other_cells=gateway.standing.is_unreachable(assignment.name),
         )
@@ -350,7 +358,7 @@
 ) -> None:
     """Set when the servers are probed and the assignment is reconsidered for a late first token."""
     now = now_ms()
-    attempt.expect_answer_within(first_due_ms(assignment.expected_ms), now)
+    attempt.expect_answer_within(first_token_timeout_ms(assignment.expected_ms), now)
     if not assignment.job.short or failover.obstacle in (
         RetryObstacle.NOT_RETRYABLE,
         RetryObstacle.ATTEMPTS,
@@ -363,21 +371,23 @@
 
     def reconsider(attempt: Attempt, now: float) -> str:
         left = request.route.target_ms - (now - request.arrived_ms)
-        left_out = retry_state.left_out.names(gateway.directory, now) | {assignment.name}
+        left_out = retry_state.left_out.current(gateway.directory, now) | {assignment.name}
         others = cell_candidates(gateway, request.service, left_out)
         urgent_job = assignment.job._replace(target_ms=max(MIN_TARGET_MS, left))
         best = choose_engines(gateway, assignment.costs, urgent_job, others) if others else None
         expected = None if best is None else best.first_token_ms
-        chosen = move(left, expected, gateway.foresight.margin_ms)
+        chosen = decide_retry(left, expected, gateway.foresight.margin_ms)
         if chosen is None:
             return ""
         if chosen.now and failover.fail_over():
             return ANSWER_TIMED_OUT
-        attempt.recheck_at = now + (RECHECK_SECONDS * 1000 if chosen.now else chosen.again_ms)
+        attempt.recheck_at = now + (
+            RECHECK_SECONDS * 1000 if chosen.now else chosen.recheck_after_ms
+        )
         return ""
 
     attempt.reconsider = reconsider
-    attempt.recheck_at = now + doubt_after_ms(assignment.expected_ms)
+    attempt.recheck_at = now + first_check_after_ms(assignment.expected_ms)
 
 
 def _prefill_check(
@@ -393,19 +403,19 @@
         return None
 
     def reconsider(attempt: Attempt, now: float) -> str:
-        reads_ms = gateway.placement.reading_ms(assignment.costs, assignment.name, now)
+        reads_ms = gateway.placement.remaining_prefill_ms(assignment.costs, assignment.name, now)
         pause_ms = assignment.job.pause_ms
         if reads_ms <= pause_ms or failover.obstacle is not None:
             return ""
-        left_out = retry_state.left_out.names(gateway.directory, now) | {assignment.name}
+        left_out = retry_state.left_out.current(gateway.directory, now) | {assignment.name}
         others = cell_candidates(gateway, request.service, left_out)
         urgent_job = assignment.job._replace(target_ms=pause_ms)
         best = choose_engines(gateway, assignment.costs, urgent_job, others) if others else None
         expected = None if best is None else best.first_token_ms
         silent_ms = now - relay.last_event_at
         margin_ms = gateway.foresight.margin_ms
-        prospect = Prospect(silent_ms, reads_ms, pause_ms, expected, margin_ms)
-        if not leaves(prospect) or not failover.fail_over():
+        prospect = PauseForecast(silent_ms, reads_ms, pause_ms, expected, margin_ms)
+        if not should_move(prospect) or not failover.fail_over():
             return ""
         gateway.counters.count("stream.moved")
         gateway.log.note(
@@ -416,7 +426,7 @@
     return reconsider
 
 
-def think_of_streams(gateway: Gateway, work: Work) -> None:
+def recheck_streams(gateway: Gateway, work: Work) -> None:
     """Have streams reconsidered whose engines are about to prefill a long prompt."""
     if not work.job.short:
         gateway.attempts.recheck_streams_at(work.servers, now_ms())
@@ -444,7 +454,7 @@
         call=request.call,
         server=assignment.name,
         customer=request.customer.name if request.customer else None,
-        left_ms=request.left_ms(now_ms()),
+        left_ms=request.remaining_ms(now_ms()),
         rank=request.rank,
         helpers=tuple(
             Helper(item.announcement.host, item.announcement.port, reservation if kept else "")
@@ -458,34 +468,34 @@
     gateway: Gateway,
     request: Request,
     assignment: Assignment,
-    outcome: StreamCompleted | WholeAnswer | NotRun | Broke,
+    outcome: StreamCompleted | WholeAnswer | NotRun | OutcomeUnknown,
     began_at: float,
 ) -> None:
     """Update server health from the outcome of an attempt that began at ``began_at``."""
     now = now_ms()
     if isinstance(outcome, StreamCompleted | WholeAnswer):
-        gateway.crashes.answered(assignment.server.start, began_at, now)
+        gateway.crashes.record_answer(assignment.server.start, began_at, now)
     match outcome:
         case StreamCompleted():
-            request.note(assignment.name, "complete", now)
-            gateway.directory.prove(*assignment.server.start, now)
-            gateway.standing.succeeded(assignment.name, None, now)
+            request.record_attempt(assignment.name, "complete", now)
+            gateway.directory.record_answer(*assignment.server.start, now)
+            gateway.standing.record_success(assignment.name, None, now)
         case WholeAnswer(answer=answer):
-            request.note(assignment.name, str(answer.status), now)
-            gateway.directory.prove(*assignment.server.start, now)
+            request.record_attempt(assignment.name, str(answer.status), now)
+            gateway.directory.record_answer(*assignment.server.start, now)
             if answer.status >= 500:
-                gateway.standing.failed(assignment.name, Trouble.ERROR, now)
-        case NotRun() | Broke():
+                gateway.standing.record_failure(assignment.name, FailureKind.ERROR, now)
+        case NotRun() | OutcomeUnknown():
             if outcome.reason == MOVED:
                 # The engine works as intended; the move does not count against it.
-                request.note(assignment.name, MOVED, now)
+                request.record_attempt(assignment.name, MOVED, now)
             elif outcome.reason != "given up":
-                learn(gateway, request, assignment.server, outcome)
+                record_failure(gateway, request, assignment.server, outcome)
 
 
 def _first_token_timeout(request: Request, assignment: Assignment, now: float) -> float:
     """Return how many seconds to wait for the first token before another server is tried."""
-    left = request.left_ms(now)
+    left = request.remaining_ms(now)
     if not request.route.repeatable or assignment.job is None:
         return max(0.0, left) / 1000
     patience = max(
--- a/siskinspoke/gateway/upstream.py
+++ b/siskinspoke/gateway/upstream.py
@@ -5,12 +5,12 @@
 import trio
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.attempts import RECHECK_SECONDS, Attempt
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.reaching import connect_to
-from siskinspoke.gateway.restrictions import hear_answer
-from siskinspoke.gateway.sending import Hold, hold_back
+from siskinspoke.gateway.restrictions import apply_restrictions
+from siskinspoke.gateway.sending import Hold, check_hold
 from siskinspoke.gateway.wire import Answer, Dispatch
 from siskinspoke.transport.http1 import PeerError, RequestHead, ServerConnection
 
@@ -23,7 +23,7 @@
     member that this VM could not reserve.
     """
 
-    trouble: Trouble
+    trouble: FailureKind
     reason: str
     arrived: bool
     at_fault: str | None = None
@@ -31,27 +31,27 @@
 
 
 @dataclass(frozen=True)
-class Broke:
+class OutcomeUnknown:
     """It is unknown whether the server has run the request or will run it.
 
-    ``gone`` means that the server itself is gone, or out of this VM's reach; ``closed`` that it
-    closed the connection.
+    ``server_lost`` means that the server itself is gone, or out of this VM's reach; ``closed`` that
+    it closed the connection.
     """
 
-    trouble: Trouble
+    trouble: FailureKind
     reason: str
-    gone: bool = False
+    server_lost: bool = False
     closed: bool = False
 
 
 def not_run_on_hold(hold: Hold) -> NotRun:
     """Return the outcome of an attempt that a server's hold prevented."""
-    return NotRun(Trouble.HELD, hold.why, arrived=False)
+    return NotRun(FailureKind.HELD, hold.reason, arrived=False)
 
 
-def connection_failure(error: PeerError) -> Broke:
+def connection_failure(error: PeerError) -> OutcomeUnknown:
     """Return the outcome of an attempt whose connection failed."""
-    return Broke(Trouble.BROKEN, str(error), closed=error.closed)
+    return OutcomeUnknown(FailureKind.BROKEN, str(error), closed=error.closed)
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
     connection: ServerConnection
 
 
-Outcome = NotRun | Broke | AnswerStarted
+Outcome = NotRun | OutcomeUnknown | AnswerStarted
 
 
 class AttemptAbandonedError(Exception):
@@ -85,16 +85,16 @@
     it while the request is written, it is unknown whether the server has read the request, so a
     request that may not be retried needs a connection that has hardly been idle.
     """
-    hold = await hold_back(gateway, dispatch.call.id, server, attempt)
+    hold = await check_hold(gateway, dispatch.call.id, server, attempt)
     if hold is not None:
         return not_run_on_hold(hold)
     connection = gateway.pool.take(server, now_ms(), max_idle_ms)
     if connection is None:
         connection = await connect_to(gateway, server)
     if connection is None:
-        return NotRun(Trouble.UNREACHABLE, "no connection", arrived=False)
+        return NotRun(FailureKind.UNREACHABLE, "no connection", arrived=False)
     # Connecting may take a second, in which the server may ask for a hold or the permit may expire.
-    hold = await hold_back(gateway, dispatch.call.id, server, attempt)
+    hold = await check_hold(gateway, dispatch.call.id, server, attempt)
     if hold is not None:
         gateway.pool.put(server, connection)
         return not_run_on_hold(hold)
@@ -133,7 +133,7 @@
             outcomes.append(connection_failure(error))
         else:
             answer = gateway.wire.decode_answer(answer_head)
-            hear_answer(gateway, dispatch.call.id, server, answer, sent_at)
+            apply_restrictions(gateway, dispatch.call.id, server, answer, sent_at)
             outcomes.append(_classify(dispatch, answer, connection))
         nursery.cancel_scope.cancel()
 
@@ -145,7 +145,7 @@
         nursery.start_soon(connection.send_request, head, dispatch.call.body)
         nursery.start_soon(read)
         nursery.start_soon(give_up)
-    return outcomes[0] if outcomes else Broke(Trouble.SILENT, "no answer in time")
+    return outcomes[0] if outcomes else OutcomeUnknown(FailureKind.SILENT, "no answer in time")
 
 
 def _classify(dispatch: Dispatch, answer: Answer, connection: ServerConnection) -> Outcome:
@@ -156,11 +156,11 @@
     """
     connection.idle_seconds = answer.idle_seconds
     if answer.misdirected:
-        return NotRun(Trouble.UNREACHABLE, "another server has the address", True)
+        return NotRun(FailureKind.UNREACHABLE, "another server has the address", True)
     if answer.never_ran and answer.status >= 400:
-        return NotRun(Trouble.BUSY, f"refused with {answer.status}", True, answer.at_fault)
+        return NotRun(FailureKind.BUSY, f"refused with {answer.status}", True, answer.at_fault)
     if answer.request_id != dispatch.call.id:
-        return Broke(Trouble.BROKEN, "the answer belongs to another request")
+        return OutcomeUnknown(FailureKind.BROKEN, "the answer belongs to another request")
     return AnswerStarted(answer, connection)
 
 
--- a/siskinspoke/gateway/widening.py
+++ b/siskinspoke/gateway/widening.py
@@ -14,19 +14,19 @@
 from siskinspoke.coordination.placement import Place
 from siskinspoke.coordination.widening import ASKED_CELLS, best_offer
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.sending import held
-from siskinspoke.gateway.servers import REMOTE_MS
+from siskinspoke.gateway.sending import find_hold
+from siskinspoke.gateway.servers import REMOTE_DOMAIN_MS
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion
 
 
-async def ask_others(
+async def request_remote_place(
     gateway: Gateway, request: Request, job: Job, excluded: Iterable[str], found: Place | None
 ) -> Place | None:
     """Return the best place offered by other cells if it is better than ``found``, else None."""
     addresses = _choose_vms(gateway)
     # ``Queries`` fills in the asking host and the number that matches offers to the query.
     query = PlaceQuestion("", 0, request.service, *job, sorted(excluded))
-    offers = await gateway.questions.request_offers(query, addresses)
+    offers = await gateway.queries.request_offers(query, addresses)
     request.offers = len(offers)
     places = [place for offer in offers if (place := _place_of(gateway, offer)) is not None]
     best = best_offer(found, places)
@@ -39,7 +39,11 @@
 def _choose_vms(gateway: Gateway) -> list[tuple[str, int]]:
     """Return the VMs to query: one random VM of each of a few random cells."""
     now, own_domain = now_ms(), gateway.settings.failure_domain
-    cells = [cell for cell in gateway.cells.others if not gateway.domains.is_cut(cell.domain, now)]
+    cells = [
+        cell
+        for cell in gateway.cells.other_cells
+        if not gateway.domains.is_cut_off(cell.domain, now)
+    ]
     near = [cell for cell in cells if cell.domain == own_domain]
     far = [cell for cell in cells if cell.domain != own_domain]
     chosen: list[Cell] = gateway.rng.sample(near, min(1, len(near)))
@@ -55,17 +59,17 @@
         return None
     first_ms = offer.first_token_ms
     if records[0].announcement.failure_domain != gateway.settings.failure_domain:
-        first_ms += REMOTE_MS
+        first_ms += REMOTE_DOMAIN_MS
     return Place(tuple(offer.servers), first_ms, tuple(offer.held))
 
 
 def _is_usable(gateway: Gateway, record: ServerRecord) -> bool:
     announcement, now = record.announcement, now_ms()
-    cut = gateway.domains.is_cut(announcement.failure_domain, now)
-    is_held = held(gateway, record, now) is not None
+    cut = gateway.domains.is_cut_off(announcement.failure_domain, now)
+    is_held = find_hold(gateway, record, now) is not None
     return not (
         announcement.leaving
         or cut
         or is_held
-        or gateway.standing.is_aside(announcement.server, now)
+        or gateway.standing.is_ejected(announcement.server, now)
     )
--- a/siskinspoke/gateway/wire.py
+++ b/siskinspoke/gateway/wire.py
@@ -118,10 +118,10 @@
     def decode_answer(self, head: AnswerHead) -> Answer:
         """Return the decoded head of a server's answer."""
 
-    def own_answer(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
+    def encode_failure(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
         """Return the answer for a failure of this system itself."""
 
-    def table_from(self, document: dict) -> Result[RouteTable, Failure]:
+    def decode_configuration(self, document: dict) -> Result[RouteTable, Failure]:
         """Return the route table of a configuration."""
 
     def reserve_order(
--- a/siskinspoke/loadgen/client.py
+++ b/siskinspoke/loadgen/client.py
@@ -28,9 +28,9 @@
     prompt_tokens: int
     first_token: float | None
     total: float
-    whole: bool
+    is_complete: bool
     retry_after_ms: int | None = None
-    resumed: int = 0
+    resume_count: int = 0
     body: str = ""
 
 
@@ -50,7 +50,7 @@
     return f"{int((time.time() + lifetime_seconds) * 1000):013d}-{name}"
 
 
-class Caller:
+class ApiClient:
     """An HTTP client with the list of entry VMs behind the load balancer."""
 
     def __init__(self, entries: Sequence[Address], seed: int = 0):
@@ -59,7 +59,7 @@
         self._client = make_client()
         self._entry_counter = itertools.count(self._rng.randrange(len(entries)))
 
-    async def __aenter__(self) -> "Caller":
+    async def __aenter__(self) -> "ApiClient":
         await self._client.__aenter__()
         return self
 
@@ -107,10 +107,18 @@
         if response.status_code != 200:
             return _error_response(response.status_code, response.content, due, 0)
         answer = msgspec.json.decode(response.content)
-        whole = answer["answer"].get("result") == f"done {answer['id']}"
+        is_complete = answer["answer"].get("result") == f"done {answer['id']}"
         elapsed = trio.current_time() - due
         return Outcome(
-            0, 200, "ran", answer["id"], 0, elapsed, elapsed, whole, body=str(answer["answer"])
+            0,
+            200,
+            "ran",
+            answer["id"],
+            0,
+            elapsed,
+            elapsed,
+            is_complete,
+            body=str(answer["answer"]),
         )
 
     async def complete(
@@ -142,12 +150,12 @@
             )
             if outcome is not None:
                 return outcome._replace(
-                    whole=outcome.code == 0 and progress.has_expected_text(max_tokens),
-                    resumed=progress.resumed,
+                    is_complete=outcome.code == 0 and progress.has_expected_text(max_tokens),
+                    resume_count=progress.resume_count,
                 )
             if not resume or not progress.resume_token:
                 break
-            progress.resumed += 1
+            progress.resume_count += 1
             entry, path, headers = None, "/v1/streams/resume", {}
             document = {"resume_token": progress.resume_token, "offset": progress.offset}
         return _connection_failure(None, progress.due, progress.prompt_tokens)
@@ -195,7 +203,7 @@
         self.offset = 0
         self.texts: list[str] = []
         self.first_token: float | None = None
-        self.resumed = 0
+        self.resume_count = 0
 
     def feed(self, line: str) -> Outcome | None:
         """Process a line of the event stream; return the outcome at its end."""
--- a/siskinspoke/loadgen/mixes.py
+++ b/siskinspoke/loadgen/mixes.py
@@ -18,29 +18,30 @@
 class Mix(NamedTuple):
     """The traffic of one site.
 
-    ``shared`` is the fraction of a prompt that a customer's requests have in common, ``large`` the
-    share of traffic from the few large customers, and ``calls`` the share of plain service calls.
+    ``shared_prefix_share`` is the fraction of a prompt that a customer's requests have in common,
+    ``large_customer_share`` the share of traffic from the first ``large_customers`` customers, and
+    ``call_share`` the share of plain service calls.
     """
 
     name: str
     bands: tuple[LengthBand, ...]
     customers: tuple[str, ...]
     large_customers: int
-    large: float
-    shared: float
-    calls: float
+    large_customer_share: float
+    shared_prefix_share: float
+    call_share: float
 
 
 class Arrival(NamedTuple):
-    """A request in the open-loop schedule; ``at`` is in seconds since the start."""
+    """A request in the open-loop schedule; ``due_seconds`` counts from the start."""
 
-    at: float
+    due_seconds: float
     number: int
     customer: str
     prompt_tokens: int
     max_tokens: int
     template: int
-    call: bool
+    is_call: bool
 
 
 _BANDS_PARANA = (
@@ -82,7 +83,7 @@
 
 def draw_customer(mix: Mix, rng: random.Random) -> str:
     """Return a random customer; a few large ones send most of the traffic."""
-    if rng.random() < mix.large:
+    if rng.random() < mix.large_customer_share:
         return mix.customers[rng.randrange(mix.large_customers)]
     return rng.choice(mix.customers)
 
@@ -101,7 +102,7 @@
             prompt,
             output,
             rng.randrange(4),
-            rng.random() < mix.calls,
+            rng.random() < mix.call_share,
         )
 
 
--- a/siskinspoke/loadgen/run.py
+++ b/siskinspoke/loadgen/run.py
@@ -10,7 +10,7 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from siskinspoke.loadgen.client import Caller, Outcome, idempotency_key, prompt_text
+from siskinspoke.loadgen.client import ApiClient, Outcome, idempotency_key, prompt_text
 from siskinspoke.loadgen.mixes import Arrival, Mix, arrivals
 
 HISTOGRAM_MIN_US, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS = 100, 3_600_000_000, 3
@@ -46,8 +46,8 @@
     def add(self, outcome: Outcome) -> None:
         """Record an outcome."""
         self.codes[str(outcome.code)] += 1
-        self.whole += outcome.whole
-        self.broken += outcome.code == 0 and not outcome.whole
+        self.whole += outcome.is_complete
+        self.broken += outcome.code == 0 and not outcome.is_complete
         if outcome.prompt_tokens == 0:
             self.calls += 1
         elif outcome.first_token is not None:
@@ -94,28 +94,32 @@
 async def run_load(plan: LoadPlan, entries: list[tuple[str, int]], progress) -> LoadReport:
     """Send every request of a plan at its due time and return the report."""
     report = LoadReport()
-    async with Caller(entries, plan.seed) as caller, trio.open_nursery() as nursery:
+    async with ApiClient(entries, plan.seed) as client, trio.open_nursery() as nursery:
         began = trio.current_time()
 
         async def send_one(arrival: Arrival) -> None:
-            report.add(await _send(caller, plan, arrival, began + arrival.at))
+            report.add(await _send(client, plan, arrival, began + arrival.due_seconds))
 
         for arrival in arrivals(plan.mix, plan.rate, plan.count, plan.seed):
-            await trio.sleep_until(began + arrival.at)
+            await trio.sleep_until(began + arrival.due_seconds)
             nursery.start_soon(send_one, arrival)
             if arrival.number % 100 == 99:
                 progress(arrival.number + 1, plan.count)
     return report
 
 
-async def _send(caller: Caller, plan: LoadPlan, arrival: Arrival, due: float) -> Outcome:
+async def _send(client: ApiClient, plan: LoadPlan, arrival: Arrival, due: float) -> Outcome:
     key = plan.key_of.format(arrival.customer)
-    if arrival.call:
+    if arrival.is_call:
         idempotency = idempotency_key(f"load-{plan.seed}-{arrival.number}")
-        return await caller.call(plan.service, key, "send", idempotency, plan.timeout_ms)
+        return await client.call(plan.service, key, "send", idempotency, plan.timeout_ms)
     prompt = prompt_text(
-        arrival.customer, arrival.template, arrival.number, arrival.prompt_tokens, plan.mix.shared
+        arrival.customer,
+        arrival.template,
+        arrival.number,
+        arrival.prompt_tokens,
+        plan.mix.shared_prefix_share,
     )
-    return await caller.complete(
+    return await client.complete(
         plan.model, key, prompt, arrival.max_tokens, plan.timeout_ms, due=due
     )
--- a/siskinspoke/management/base.py
+++ b/siskinspoke/management/base.py
@@ -9,7 +9,7 @@
 import msgspec
 from absl import flags
 
-from siskinspoke.core.codes import FACTS, Failure, FailureError, ResultCode
+from siskinspoke.core.codes import CODE_INFO, Failure, FailureError, ResultCode
 from siskinspoke.management import commands as commands_package
 
 FLAGS = flags.FLAGS
@@ -62,7 +62,7 @@
         print(msgspec.json.encode(failure.to_document()).decode())
     else:
         print(f"error {int(failure.code)} {failure.code.name}: {failure.message}", file=sys.stderr)
-    return FACTS[failure.code].exit_code
+    return CODE_INFO[failure.code].exit_code
 
 
 def execute(argv: Sequence[str]) -> int:
--- a/siskinspoke/management/commands/apply.py
+++ b/siskinspoke/management/commands/apply.py
@@ -11,32 +11,34 @@
 
 from siskinspoke.conf import settings_from
 from siskinspoke.coordination.machine import ConfigureRequest
-from siskinspoke.core.codes import FACTS, Failure, ResultCode
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 from siskinspoke.management.base import emit, fail
-from siskinspoke.management.operators import Operator
+from siskinspoke.management.operators import OperatorClient
 
 FLAGS = flags.FLAGS
 
 flags.DEFINE_integer("expect", -1, "Configuration version to replace; -1 means the latest.")
 
-ACCEPT_SECONDS = 6.0
+ACCEPT_TIMEOUT_SECONDS = 6.0
 
 
 def handle(_arguments: list[str]) -> int:
     """Submit the change, wait until it is in force, and list the VMs that have not applied it."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
     order = FLAGS.order or secrets.token_hex(8)
-    with Operator(settings) as operator:
+    with OperatorClient(settings) as operator:
         expect = FLAGS.expect
         if expect < 0:
             expect = _latest_version(operator, settings)
         change = ConfigureRequest(order, getpass.getuser(), expect, settings.configuration_document)
-        reply = operator.ask_leader("/v1/configuration", change._asdict(), ACCEPT_SECONDS)
+        reply = operator.post_to_leader(
+            "/v1/configuration", change._asdict(), ACCEPT_TIMEOUT_SECONDS
+        )
         failure = _failure(reply, order)
         if failure is not None:
             return fail(failure)
         version = reply.document["version"]
-        missing = operator.wait_in_force(version, FLAGS.wait)
+        missing = operator.wait_until_applied(version, FLAGS.wait)
     text = f"version {version} accepted (order {order})"
     code = ResultCode.OK
     if missing:
@@ -45,10 +47,10 @@
     else:
         text += "; in force at every entry VM"
     emit({"version": version, "order": order, "missing": missing, "code": int(code)}, text)
-    return FACTS[code].exit_code
+    return CODE_INFO[code].exit_code
 
 
-def _latest_version(operator: Operator, settings) -> int:
+def _latest_version(operator: OperatorClient, settings) -> int:
     """Return the highest configuration version reported by a replica."""
     replies = [operator.control_status(control.name) for control in settings.controls]
     return max((reply.document.get("configuration_version", 0) for reply in replies), default=0)
--- a/siskinspoke/management/commands/check.py
+++ b/siskinspoke/management/commands/check.py
@@ -3,7 +3,7 @@
 from absl import flags
 
 from siskinspoke.conf import load_files
-from siskinspoke.core.codes import FACTS, ResultCode
+from siskinspoke.core.codes import CODE_INFO, ResultCode
 from siskinspoke.management.base import emit
 
 FLAGS = flags.FLAGS
@@ -24,4 +24,4 @@
     faults = loaded.error
     text = "\n".join([*(str(fault) for fault in faults), f"{len(faults)} faults"])
     emit({"faults": [fault._asdict() for fault in faults]}, text)
-    return FACTS[ResultCode.INVALID_SETTINGS].exit_code
+    return CODE_INFO[ResultCode.INVALID_SETTINGS].exit_code
--- a/siskinspoke/management/commands/status.py
+++ b/siskinspoke/management/commands/status.py
@@ -3,9 +3,9 @@
 from absl import flags
 
 from siskinspoke.conf import settings_from
-from siskinspoke.core.codes import FACTS, ResultCode
+from siskinspoke.core.codes import CODE_INFO, ResultCode
 from siskinspoke.management.base import emit
-from siskinspoke.management.operators import Operator
+from siskinspoke.management.operators import OperatorClient
 
 FLAGS = flags.FLAGS
 
@@ -13,7 +13,7 @@
 def handle(_arguments: list[str]) -> int:
     """Query every VM; the exit code reports whether any did not answer."""
     settings = settings_from(FLAGS.base, FLAGS.overlay)
-    with Operator(settings) as operator:
+    with OperatorClient(settings) as operator:
         controls = {
             item.name: operator.control_status(item.name).document for item in settings.controls
         }
@@ -26,7 +26,7 @@
     lines += [_entry_line(name, document) for name, document in entries.items()]
     emit({"controls": controls, "entries": entries}, "\n".join(lines))
     unreachable = [name for name, document in {**controls, **entries}.items() if not document]
-    return FACTS[ResultCode.UNREACHABLE].exit_code if unreachable else 0
+    return CODE_INFO[ResultCode.UNREACHABLE].exit_code if unreachable else 0
 
 
 def _control_line(name: str, document: dict) -> str:
--- a/siskinspoke/management/operators.py
+++ b/siskinspoke/management/operators.py
@@ -26,20 +26,20 @@
     document: dict
 
 
-class Operator:
+class OperatorClient:
     """Send authenticated requests to the processes of a site."""
 
     def __init__(self, settings: Settings, timeout_seconds: float = REQUEST_TIMEOUT_SECONDS):
         self._settings = settings
         self._client = httpx.Client(timeout=timeout_seconds, trust_env=False)
 
-    def __enter__(self) -> "Operator":
+    def __enter__(self) -> "OperatorClient":
         return self
 
     def __exit__(self, *details) -> None:
         self._client.close()
 
-    def exchange(self, method: str, host: str, port: int, path: str, body=None) -> Reply:
+    def request(self, method: str, host: str, port: int, path: str, body=None) -> Reply:
         """Send a request and return the reply."""
         headers = {"Authorization": f"Bearer {self._settings.operator_key}"}
         content = None if body is None else msgspec.json.encode(body)
@@ -54,12 +54,12 @@
     def entry_status(self, name: str) -> Reply:
         """Return the status of an entry VM."""
         entry = self._settings.entry(name)
-        return self.exchange("GET", entry.host, entry.internal_port, "/v1/status")
+        return self.request("GET", entry.host, entry.internal_port, "/v1/status")
 
     def control_status(self, name: str) -> Reply:
         """Return the status of a control replica."""
         control = self._settings.control_vm(name)
-        return self.exchange("GET", control.host, control.port, "/v1/status")
+        return self.request("GET", control.host, control.port, "/v1/status")
 
     def versions(self) -> dict[str, int | None]:
         """Return the configuration version of each entry VM, or None if it does not answer."""
@@ -69,7 +69,7 @@
             versions[entry.name] = reply.document.get("configuration_version")
         return versions
 
-    def wait_in_force(self, version: int, seconds: float) -> list[str]:
+    def wait_until_applied(self, version: int, seconds: float) -> list[str]:
         """Wait until every entry VM has applied a version; return the names of those that lag."""
         deadline = time.monotonic() + seconds
         missing = [entry.name for entry in self._settings.entries]
@@ -85,13 +85,13 @@
         in_force = self.entry_status(name).document.get("configuration_version")
         return in_force is not None and in_force >= version
 
-    def ask_leader(self, path: str, body, seconds: float) -> Reply:
+    def post_to_leader(self, path: str, body, seconds: float) -> Reply:
         """Send a change to the replicas in turn until the leader answers."""
         deadline = time.monotonic() + seconds
         reply = Reply(0, {})
         while time.monotonic() < deadline:
             for control in self._settings.controls:
-                reply = self.exchange("POST", control.host, control.port, path, body)
+                reply = self.request("POST", control.host, control.port, path, body)
                 if reply.status not in (0, 421, 503):
                     return reply
             time.sleep(0.1)
--- a/siskinspoke/platform/calls.py
+++ b/siskinspoke/platform/calls.py
@@ -4,7 +4,7 @@
 from expression import Error, Ok, Result
 
 from siskinspoke.coordination.routes import RouteTable
-from siskinspoke.core.codes import FACTS, Failure, ResultCode
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 from siskinspoke.gateway.wire import (
     Answer,
     Call,
@@ -130,7 +130,7 @@
             restrictions=_parse_restrictions(head.status, head.headers),
         )
 
-    def own_answer(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
+    def encode_failure(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
         """Encode the response for a failure that originates in this system."""
         body = msgspec.json.encode(failure.to_document())
         headers = [(b"Content-Type", b"application/json")]
@@ -138,7 +138,7 @@
             headers.append((names.REQUEST_ID, call_id.encode("latin-1")))
         if failure.retry_after_ms is not None:
             headers.append((names.RETRY_AFTER, b"%.3f" % (failure.retry_after_ms / 1000)))
-        return FACTS[failure.code].status, headers, body
+        return CODE_INFO[failure.code].status, headers, body
 
     def reserve_order(
         self, server: str, name: str, tokens: int, lease_ms: int
@@ -158,7 +158,7 @@
         """Return the order that releases a reservation."""
         return orders.release_order(server, name)
 
-    def table_from(self, document: dict) -> Result[RouteTable, Failure]:
+    def decode_configuration(self, document: dict) -> Result[RouteTable, Failure]:
         """Decode a configuration into a route table."""
         return configuration.table_from(document)
 
--- a/siskinspoke/platform/control_app.py
+++ b/siskinspoke/platform/control_app.py
@@ -6,11 +6,11 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from siskinspoke.conf.vm import address_from
+from siskinspoke.conf.vm import parse_address
 from siskinspoke.control.group_daemon import ControlParts
-from siskinspoke.coordination.directory import UNDATED
+from siskinspoke.coordination.directory import UNKNOWN_INCARNATION
 from siskinspoke.core.codes import Failure, ResultCode
-from siskinspoke.core.supervise import note_fault
+from siskinspoke.core.supervise import log_fault
 from siskinspoke.platform.configuration import decode_configuration, service_names
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.transport.calls import Bounds, Call, Reply
@@ -32,7 +32,7 @@
     state: Literal["ready", "draining"] = "ready"
     # Start time of the server process as a Unix timestamp in milliseconds, by its own clock. Some
     # deployments omit it and give each process its own server ID.
-    born: int = UNDATED
+    born: int = UNKNOWN_INCARNATION
 
 
 class Farewell(msgspec.Struct):
@@ -45,7 +45,7 @@
     """Decode a heartbeat into an announcement."""
     try:
         heartbeat = msgspec.json.decode(body, type=Beat)
-        address = address_from(heartbeat.address)
+        address = parse_address(heartbeat.address)
     except (msgspec.MsgspecError, ValueError) as error:
         return Error(Failure(ResultCode.NOT_JSON, str(error)))
     return Ok(
@@ -75,7 +75,9 @@
         return Error(Failure(ResultCode.NOT_JSON, str(error)))
     if latest is None:
         return Ok(
-            _announcement(server, deregistration.born or UNDATED, DEREGISTRATION_SEQ, leaving=True)
+            _announcement(
+                server, deregistration.born or UNKNOWN_INCARNATION, DEREGISTRATION_SEQ, leaving=True
+            )
         )
     start = latest.incarnation if deregistration.born is None else deregistration.born
     return Ok(latest._replace(incarnation=start, seq=DEREGISTRATION_SEQ, leaving=True))
@@ -132,7 +134,7 @@
         try:
             return await self._answer(call)
         except Exception as error:
-            note_fault(self._log, self._counters, f"{call.method} {call.path[:100]}", error)
+            log_fault(self._log, self._counters, f"{call.method} {call.path[:100]}", error)
             return _error_reply(Failure(ResultCode.INTERNAL, "a fault of this VM"), 500)
 
     async def _answer(self, call: Call) -> Reply:
--- a/siskinspoke/protocol/peers.py
+++ b/siskinspoke/protocol/peers.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from siskinspoke.coordination.limiters import Outcome
-from siskinspoke.coordination.retries import Calls
+from siskinspoke.coordination.retries import CallCounts
 from siskinspoke.protocol.codec import message
 
 
@@ -73,7 +73,7 @@
     wrote: list[int]
     ended: list[int]
     paces: list[EnginePace]
-    calls: list[Calls]
+    calls: list[CallCounts]
     domain: str
     cuts: list[str]
     lost: list[str]
@@ -101,7 +101,7 @@
 
 @message
 class PermitReply(NamedTuple):
-    """The limiter's decision, with the fields of ``limiters.Verdict``."""
+    """The limiter's decision, with the fields of ``limiters.PermitDecision``."""
 
     number: int
     outcome: Outcome
--- a/siskinspoke/standins/announcer.py
+++ b/siskinspoke/standins/announcer.py
@@ -27,7 +27,7 @@
         self._entries = entries
         self._make_announcement = make_announcement
         self._seq = 0
-        self.leaving = False
+        self.is_leaving = False
 
     async def run(self) -> None:
         """Announce at a jittered interval, to one entry VM at a time."""
@@ -39,11 +39,11 @@
         """Send an announcement to a random entry VM, as the load balancer would."""
         self._seq += 1
         host, port = random.choice(self._entries)
-        await self._port.send(self._make_announcement(self._seq, self.leaving), host, port)
+        await self._port.send(self._make_announcement(self._seq, self.is_leaving), host, port)
 
     async def leave(self) -> None:
         """Announce that the server is leaving, repeatedly since datagrams may be lost."""
-        self.leaving = True
+        self.is_leaving = True
         for _ in range(LEAVE_REPEATS):
             await self.announce_once()
             await trio.sleep(ANNOUNCE_INTERVAL_SECONDS / 5)
--- a/siskinspoke/standins/engine_model.py
+++ b/siskinspoke/standins/engine_model.py
@@ -130,7 +130,7 @@
         """Whether a step would compute or free anything."""
         return bool(self._active)
 
-    def queued(self, ranks: int) -> list[int]:
+    def queued_prefill_tokens(self, ranks: int) -> list[int]:
         """Return the outstanding prefill tokens by priority rank."""
         totals = [0] * ranks
         for item in self._active.values():
@@ -233,8 +233,8 @@
         decodes = [item for item in self._active.values() if item.state is AttemptState.DECODE]
         budget = max(0, parameters.chunk_tokens - len(decodes))
         prefills = []
-        waiting = (item for item in self._active.values() if item.state is AttemptState.PREFILL)
-        for item in sorted(waiting, key=_scheduling_key):
+        prefilling = (item for item in self._active.values() if item.state is AttemptState.PREFILL)
+        for item in sorted(prefilling, key=_scheduling_key):
             if budget <= 0:
                 break
             share = min(budget, item.remaining_prefill)
--- a/siskinspoke/standins/engine_server.py
+++ b/siskinspoke/standins/engine_server.py
@@ -62,13 +62,13 @@
         deadly_text: str = "",
     ):
         self.identity = identity
-        self._deadly_text = deadly_text
+        self._crash_text = deadly_text
         self._crashing_attempts: list[Attempt] = []
         self.model = EngineModel(parameters)
         self.fence = 0
         self.orders: list[dict] = []
         self.order_seconds = 0.0
-        self.began: dict[str, int] = {}
+        self.start_counts: dict[str, int] = {}
         self._slowdown = slow
         self._step_finished = trio.Event()
         self._work_available = trio.Event()
@@ -110,7 +110,7 @@
             model.parameters.memory_tokens,
             model.free_tokens,
             model.running,
-            model.queued(PRIORITY_RANKS),
+            model.queued_prefill_tokens(PRIORITY_RANKS),
             model.parameters.prefill_rate / self._slowdown,
             model.accepted,
         )
@@ -131,9 +131,9 @@
         )
         if not self.model.start(attempt, now_ms()):
             return None
-        self.began[key.request] = self.began.get(key.request, 0) + 1
+        self.start_counts[key.request] = self.start_counts.get(key.request, 0) + 1
         self._work_available.set()
-        if self._deadly_text and self._deadly_text in prompt:
+        if self._crash_text and self._crash_text in prompt:
             self._crashing_attempts.append(self.model.attempts[key])
         return self.model.attempts[key]
 
@@ -259,7 +259,7 @@
                 "free_tokens": model.free_tokens,
                 "total_tokens": model.parameters.memory_tokens,
                 "running": model.running,
-                "began": server.began,
+                "began": server.start_counts,
                 "reservations": len(model.reservations),
                 "orders": server.orders,
             }
--- a/siskinspoke/testing/chaos.py
+++ b/siskinspoke/testing/chaos.py
@@ -9,7 +9,7 @@
 import trio
 
 from siskinspoke.core.codes import ResultCode
-from siskinspoke.loadgen.client import Caller, Outcome, idempotency_key, prompt_text
+from siskinspoke.loadgen.client import ApiClient, Outcome, idempotency_key, prompt_text
 from siskinspoke.testing.running_site import RunningSite
 from siskinspoke.testing.site import customer_key
 
@@ -58,14 +58,14 @@
                         await trio.sleep(REQUEST_INTERVAL_SECONDS)
             await trio.to_thread.run_sync(self.heal)
 
-    async def _send_completion(self, caller: Caller, number: int) -> None:
+    async def _send_completion(self, caller: ApiClient, number: int) -> None:
         tokens = self._traffic_rng.choice((1_000, 2_000, 6_000, 30_000))
         prompt = prompt_text(CUSTOMER, number % 3, number, tokens, 0.3)
         self.completions.append(
             await caller.complete("redactor", customer_key(CUSTOMER), prompt, 24, TIMEOUT_MS)
         )
 
-    async def _send_call(self, caller: Caller, number: int) -> None:
+    async def _send_call(self, caller: ApiClient, number: int) -> None:
         """Send a call and retry it through other VMs until an answer is final."""
         record = CallRecord(idempotency_key(f"chaos-{number}"), [])
         self.calls.append(record)
@@ -76,7 +76,7 @@
                     "despacho", customer_key(CUSTOMER), "x", record.key, TIMEOUT_MS
                 )
             record.outcomes.append(outcome)
-            if outcome.whole or outcome.code == ResultCode.ALREADY_RAN:
+            if outcome.is_complete or outcome.code == ResultCode.ALREADY_RAN:
                 return
             await trio.sleep(RETRY_DELAY_SECONDS)
 
@@ -143,9 +143,9 @@
         fleet = self.site.fleet
         names = [item.name for item in (*fleet.settings.entries, *fleet.settings.controls)]
         name = self._fault_rng.choice([*names, *self.site.specs])
-        fleet.freeze(name)
+        fleet.suspend(name)
         time.sleep(self._fault_rng.uniform(0.5, 4.0))
-        fleet.thaw(name)
+        fleet.resume(name)
 
     def _cut_domain(self) -> None:
         domain = self._fault_rng.randrange(3)
@@ -184,7 +184,7 @@
         found = [
             f"answer {item.request_id} has status OK but is incomplete or another caller's"
             for item in self.completions
-            if item.code == ResultCode.OK and not item.whole
+            if item.code == ResultCode.OK and not item.is_complete
         ]
         limit = TIMEOUT_MS / 1000 + ANSWER_TOLERANCE_SECONDS
         found += [
@@ -196,7 +196,7 @@
             count = execution_counts[f"{CUSTOMER}/{record.key}"]
             if count > 1:
                 found.append(f"{record.key} was executed {count} times: {record.outcomes}")
-            if any(item.whole for item in record.outcomes) and count != 1:
+            if any(item.is_complete for item in record.outcomes) and count != 1:
                 found.append(f"{record.key} was answered but executed {count} times")
             last = record.outcomes[-1] if record.outcomes else None
             if last is not None and last.run == "not_run" and last.status and count:
--- a/siskinspoke/testing/demo.py
+++ b/siskinspoke/testing/demo.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from siskinspoke.loadgen.client import Caller, Outcome, idempotency_key, prompt_text
+from siskinspoke.loadgen.client import ApiClient, Outcome, idempotency_key, prompt_text
 from siskinspoke.testing.fleet import Fleet, ServerSpec, write_keys
 from siskinspoke.testing.networks import networks
 from siskinspoke.testing.site import SERVER_PORT, address, customer_key
@@ -75,7 +75,7 @@
     completions: list[Outcome] = []
     calls: list[Outcome] = []
     entries = [(entry.host, entry.port) for entry in fleet.settings.entries]
-    async with Caller(entries) as caller, trio.open_nursery() as nursery:
+    async with ApiClient(entries) as caller, trio.open_nursery() as nursery:
 
         async def complete(number: int, tokens: int) -> None:
             prompt = prompt_text(CUSTOMER, number % 3, number, tokens, 0.3)
@@ -105,13 +105,13 @@
     print(f"{'prompt tokens':>14} {'answers':>8} {'whole':>6} {'time to first token, ms':<40}")
     for tokens in PROMPT_LENGTHS:
         found = [item for item in completions if item.prompt_tokens == tokens]
-        whole = sum(item.whole for item in found)
+        whole = sum(item.is_complete for item in found)
         times = sorted(item.first_token * 1000 for item in found if item.first_token is not None)
         shown = "  ".join(f"{item:.0f}" for item in times)
         print(f"{tokens:>14,} {len(found):>8} {whole:>6} {shown:<40}")
-    ran = sum(item.whole for item in calls)
+    ran = sum(item.is_complete for item in calls)
     print(f"non-idempotent calls: {len(calls)}, answered {ran}")
-    failed = [item for item in [*completions, *calls] if not item.whole]
+    failed = [item for item in [*completions, *calls] if not item.is_complete]
     for item in failed:
         print(f"failed: {item}")
     print(f"{len(completions) + len(calls)} requests, {len(failed)} failed, {seconds:.1f} s")
--- a/siskinspoke/testing/elastic_group.py
+++ b/siskinspoke/testing/elastic_group.py
@@ -32,7 +32,7 @@
             name,
             list(self.join_targets) if is_founder else [],
             TIMES,
-            disk.restored(),
+            disk.restored_state(),
             random.Random(self.rng.random()),
             self.now,
             FoundGroup() if is_founder else JoinGroup(),
@@ -40,9 +40,9 @@
         self.replicas[name].set_join_targets(self.join_targets)
         self.applied[name] = list(disk.snapshot.document["applied"]) if disk.snapshot else []
 
-    def settled(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether the group has converged and no replacement is pending."""
-        return super().settled() and self.removed_name is None
+        return super().has_converged() and self.removed_name is None
 
     def wipe_disk(self, name: str) -> None:
         """Wipe a replica's disk, unless a replacement is still in progress."""
--- a/siskinspoke/testing/fleet.py
+++ b/siskinspoke/testing/fleet.py
@@ -247,17 +247,17 @@
 
     def kill(self, name: str) -> None:
         """Kill a process with SIGKILL and wait for it to exit."""
-        self.thaw(name)
+        self.resume(name)
         process = self._processes.pop(name)
         process.kill()
         process.wait()
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Suspend a process with SIGSTOP; its connections stay open."""
         self.signal(name, signal.SIGSTOP)
         self._suspended.add(name)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resume a suspended process with SIGCONT."""
         if name in self._suspended:
             self._suspended.discard(name)
@@ -285,7 +285,7 @@
     def close(self) -> None:
         """Kill every process that this fleet started."""
         for name in list(self._suspended):
-            self.thaw(name)
+            self.resume(name)
         for process in self._processes.values():
             if process.poll() is None:
                 process.kill()
--- a/siskinspoke/testing/group_site.py
+++ b/siskinspoke/testing/group_site.py
@@ -73,7 +73,7 @@
                 env=os.environ | {"PYTHONUNBUFFERED": "1"},
             )
 
-    def survives(self, name: str, number: int) -> bool:
+    def survives_signal(self, name: str, number: int) -> bool:
         """Return whether a process handles or ignores a signal that is fatal by default.
 
         The interpreter takes 20 to 100 ms, more on a busy machine, to reach the program's first
@@ -102,11 +102,11 @@
         """Return the id of a process."""
         return self._processes[name].pid
 
-    def alive(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Return whether a process is still running."""
         return self._processes[name].poll() is None
 
-    def empty_disk(self, name: str) -> None:
+    def wipe_disk(self, name: str) -> None:
         """Delete the data folder of a stopped registry."""
         shutil.rmtree(self.folder / f"data-{name}", ignore_errors=True)
 
@@ -127,7 +127,7 @@
             return 0, None
         return response.status_code, response.json() if response.content else None
 
-    def until(self, name: str, method: str, path: str, body: object = None) -> object:
+    def call_until_success(self, name: str, method: str, path: str, body: object = None) -> object:
         """Retry a request to a registry until it succeeds, as operators do; return the body."""
         answers: list[object] = []
 
--- a/siskinspoke/testing/mutants.py
+++ b/siskinspoke/testing/mutants.py
@@ -76,12 +76,12 @@
 
 def leaving_unheard() -> None:
     """Ignore the leaving flag in servers' announcements."""
-    original = Directory.hear
+    original = Directory.apply
 
     def hear(self, announcement, now):
         return original(self, announcement._replace(leaving=False), now)
 
-    Directory.hear = hear
+    Directory.apply = hear
 
 
 def no_engine_lease() -> None:
--- a/siskinspoke/testing/networks.py
+++ b/siskinspoke/testing/networks.py
@@ -45,7 +45,7 @@
 # Third octets within the network that all sites of registries and gateways share.
 SOAKS = Allocation(60, 3)
 FEED_SLOPES = 88
-SOAK_BY_HAND = range(90, 140)
+MANUAL_SOAK_NETS = range(90, 140)
 GROUPS = Allocation(150, 10)
 
 
@@ -93,7 +93,7 @@
     return _allocated(SOAKS, 0, environment)
 
 
-def in_turn(nets: Callable[[], range]) -> Callable[[], int]:
+def net_cycle(nets: Callable[[], range]) -> Callable[[], int]:
     """Return a function that cycles through a worker's networks.
 
     Successive sites use different networks, so that a port still held by a stopped site does not
--- a/siskinspoke/testing/proxy.py
+++ b/siskinspoke/testing/proxy.py
@@ -28,7 +28,7 @@
     cut: bool = False
     delay_seconds: float = 0.0
     drop_probability: float = 0.0
-    double: float = 0.0
+    duplicate_probability: float = 0.0
     jitter_seconds: float = 0.0
 
 
@@ -191,7 +191,7 @@
                 rule = self._rule(domain_of(address[0]), target, port)
                 if rule.cut or self._rng.random() < rule.drop_probability:
                     continue
-                copies = 2 if self._rng.random() < rule.double else 1
+                copies = 2 if self._rng.random() < rule.duplicate_probability else 1
                 for _ in range(copies):
                     delay = rule.delay_seconds + self._rng.random() * rule.jitter_seconds
                     nursery.start_soon(_send_later, sender, data, (host, port), delay)
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -51,7 +51,7 @@
         else:
             self.records.extend(out.records)
 
-    def restored(self) -> RestoredState:
+    def restored_state(self) -> RestoredState:
         """Return the state that a restarted replica recovers."""
         return restore_state(self.identity, self.snapshot, self.records)
 
@@ -85,7 +85,7 @@
             name,
             self.names,
             TIMES,
-            self.disks[name].restored(),
+            self.disks[name].restored_state(),
             random.Random(self.rng.random()),
             self.now,
         )
@@ -135,7 +135,7 @@
             case 8 | 9 | 10 | 16:
                 self.propose()
             case 11 | 12 | 13 | 14:
-                self.pass_time(choice % 120)
+                self.advance_clock(choice % 120)
             case 15 | 18:
                 self.restart_stopped()
             case _:
@@ -172,7 +172,7 @@
         replica.receive(item, self.now)
         self._process_output(to, replica.take_output())
 
-    def pass_time(self, milliseconds: float) -> None:
+    def advance_clock(self, milliseconds: float) -> None:
         """Advance the clock and tick each running replica that is not suspended."""
         self.now += milliseconds
         for name, replica in self.replicas.items():
@@ -261,13 +261,13 @@
         self.suspended.clear()
         self.restart_stopped()
         end = self.now + milliseconds
-        while self.now < end and not self.settled():
+        while self.now < end and not self.has_converged():
             for _ in range(len(self.in_flight)):
                 self.deliver(0)
-            self.pass_time(10)
+            self.advance_clock(10)
             self.check_invariants()
 
-    def settled(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether the group has one leader and all replicas have the same log committed."""
         leaders = [r for r in self.replicas.values() if r is not None and r.role is Role.LEADER]
         running = [replica for replica in self.replicas.values() if replica is not None]
@@ -288,7 +288,7 @@
                     raise InvariantError(f"{name} lacks committed entry {index}: {kind} {body}")
 
 
-def numbers(seed: int, count: int) -> Iterator[int]:
+def random_schedule(seed: int, count: int) -> Iterator[int]:
     """Yield the steps of one random schedule."""
     rng = random.Random(seed)
     for _ in range(count):
--- a/siskinspoke/testing/running_site.py
+++ b/siskinspoke/testing/running_site.py
@@ -7,7 +7,7 @@
 import httpx
 import msgspec
 
-from siskinspoke.loadgen.client import Caller
+from siskinspoke.loadgen.client import ApiClient
 from siskinspoke.testing.fleet import Fleet, ServerSpec, wait_until
 from siskinspoke.testing.proxy import Endpoint, FaultProxy
 from siskinspoke.testing.site import (
@@ -41,10 +41,10 @@
         entry = self.fleet.settings.entry(name)
         return entry.host, entry.port
 
-    def caller(self, *names: str) -> Caller:
+    def caller(self, *names: str) -> ApiClient:
         """Return a caller that is load balanced over the named entry VMs, or over all."""
         chosen = [self.entry_address(name) for name in names] or self.entries
-        return Caller(chosen)
+        return ApiClient(chosen)
 
     def server_state(self, name: str) -> dict:
         """Return the state document of a stand-in server."""
--- a/siskinspoke/testing/server_account.py
+++ b/siskinspoke/testing/server_account.py
@@ -30,7 +30,7 @@
     """Compare the requests that a server gets from each VM with what it has told that VM."""
 
     def __init__(self, server: str):
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self._server = server
         self._limit_told_at: dict[str, float] = {}
         self._rate_changes: deque[tuple[float, float]] = deque()
@@ -38,7 +38,7 @@
         self._back_offs: dict[str, list[BackOff]] = {}
         self._leave_told_at: dict[str, float] = {}
 
-    def restarted(self) -> None:
+    def record_restart(self) -> None:
         """Record a restart of the server, which clears everything that it has asked for."""
         self._clear_limit()
         self._back_offs.clear()
@@ -49,12 +49,12 @@
         self._rate_changes.clear()
         self._limited_arrivals.clear()
 
-    def disturbed(self, vm: str) -> None:
+    def record_disturbance(self, vm: str) -> None:
         """Record that a VM was restarted, suspended or partitioned, and may have lost its state."""
         for told in (self._limit_told_at, self._back_offs, self._leave_told_at):
             told.pop(vm, None)
 
-    def answered(
+    def record_answer(
         self,
         vm: str,
         now: float,
@@ -75,13 +75,13 @@
         if not self._rate_changes or self._rate_changes[-1][1] != rate_limit:
             self._rate_changes.append((now, rate_limit))
 
-    def arrived(self, vm: str, now: float) -> None:
+    def record_request(self, vm: str, now: float) -> None:
         """Record a request of a VM, and a violation if it was not allowed."""
         self._check_limit(vm, now)
         self._check_back_off(vm, now)
         if now - self._leave_told_at.get(vm, now) > DRAIN_SECONDS:
             late = now - self._leave_told_at[vm]
-            self.broken.append(
+            self.violations.append(
                 f"{self._server} got a request from {vm} {late:.1f} s after announcing its leave"
             )
 
@@ -91,7 +91,7 @@
         for item in active:
             item.arrivals += now >= item.starts_at
             if item.arrivals > BACK_OFF_TOLERANCE_REQUESTS:
-                self.broken.append(
+                self.violations.append(
                     f"{self._server} asked {vm} to back off, but got {item.arrivals} requests"
                 )
 
@@ -107,7 +107,7 @@
         rate = max(rate for _, rate in self._rate_changes)
         allowed = LIMIT_TOLERANCE_FACTOR * rate * LIMIT_WINDOW_SECONDS + LIMIT_TOLERANCE_REQUESTS
         if len(self._limited_arrivals) > allowed:
-            self.broken.append(
+            self.violations.append(
                 f"{self._server} has a rate limit of {rate:g}/s but got"
                 f" {len(self._limited_arrivals)} requests in {LIMIT_WINDOW_SECONDS:g} s;"
                 f" maximum {allowed:g}"
--- a/siskinspoke/transport/http.py
+++ b/siskinspoke/transport/http.py
@@ -11,7 +11,7 @@
 from quart import Response
 from quart_trio import QuartTrio
 
-from siskinspoke.core.codes import FACTS, Failure, ResultCode
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 KEEP_ALIVE_SECONDS = 30
@@ -110,4 +110,4 @@
     headers = {}
     if failure.retry_after_ms is not None:
         headers["Retry-After"] = str(-(-failure.retry_after_ms // 1000))
-    return json_response(failure.to_document(), FACTS[failure.code].status, headers)
+    return json_response(failure.to_document(), CODE_INFO[failure.code].status, headers)
--- a/tests/analysis/test_foresight.py
+++ b/tests/analysis/test_foresight.py
@@ -44,7 +44,7 @@
         assert first_token_error_ms(MOVED) is None
 
     def test_table_adds_up(self):
-        regrets = collect_stats([UNCHANGED, UNCHANGED, RETRIED, MOVED])
-        assert sum(item.request_count for item in regrets) == 4
-        assert sum(item.success_count for item in regrets) == 3
-        assert "retried elsewhere" in format_table(regrets)
+        stats = collect_stats([UNCHANGED, UNCHANGED, RETRIED, MOVED])
+        assert sum(item.request_count for item in stats) == 4
+        assert sum(item.success_count for item in stats) == 3
+        assert "retried elsewhere" in format_table(stats)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,5 +49,5 @@
     """Fail a test in which a stand-in server got requests against its limits or back-offs."""
     StandinServer.started.clear()
     yield
-    violations = [line for server in StandinServer.started for line in server.account.broken]
+    violations = [line for server in StandinServer.started for line in server.account.violations]
     assert not violations, violations[:5]
--- a/tests/control/slow_group.py
+++ b/tests/control/slow_group.py
@@ -109,7 +109,9 @@
     def _start(self, name: str) -> None:
         disk = self.disks[name]
         rng = random.Random(self._rng.random())
-        replica = Replica(name, [], TIMES, disk.restored(), rng, virtual_now_ms(), JoinGroup())
+        replica = Replica(
+            name, [], TIMES, disk.restored_state(), rng, virtual_now_ms(), JoinGroup()
+        )
         replica.set_join_targets(tuple(self.names))
         task = SlowTask(
             replica,
--- a/tests/control/test_feed_hub.py
+++ b/tests/control/test_feed_hub.py
@@ -6,7 +6,7 @@
 from trio.testing import MockClock
 
 from siskinspoke.control.feed_hub import PUBLICATION_STAGGER_SECONDS, FeedHub, Held
-from siskinspoke.coordination.cells import MOST_VMS
+from siskinspoke.coordination.cells import MAX_CELL_VMS
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.watchers import rendezvous_order
 from siskinspoke.core.counters import Counters
@@ -205,20 +205,20 @@
         hub._sessions = set(sessions)
         for number in range(60):
             announcement = make_announcement(f"engine-{number}", "m", "ab"[number % 2])
-            directory.hear(announcement, 0)
+            directory.apply(announcement, 0)
             hub.renew(announcement)
         plain = make_announcement("plain", "p", "a")
-        directory.hear(plain, 0)
+        directory.apply(plain, 0)
         hub.renew(plain)
         hub._send_renewals()
         return sessions
 
     def test_small_fleet_receives_all_renewals(self):
-        assert all(len(item.renewed_servers) == 61 for item in self.renew_all(MOST_VMS))
+        assert all(len(item.renewed_servers) == 61 for item in self.renew_all(MAX_CELL_VMS))
 
     def test_large_fleet_receives_own_domain_and_small_services(self):
         """Guards against 14 KB/s of renewals per VM in a fleet of 870 servers."""
-        *entries, control = self.renew_all(MOST_VMS + 1)
+        *entries, control = self.renew_all(MAX_CELL_VMS + 1)
         for item in entries:
             number = "ab".index(item.follow.failure_domain)
             engines = {f"engine-{index}" for index in range(number, 60, 2)}
--- a/tests/coordination/crash_world.py
+++ b/tests/coordination/crash_world.py
@@ -20,10 +20,10 @@
     Undecided,
 )
 from siskinspoke.coordination.witnesses import (
-    ASK_AGAIN,
-    ASK_AGAIN_SECONDS,
+    MAX_RECHECKS,
+    RECHECK_SECONDS,
     choose_witnesses,
-    speaks_for_cut,
+    indicates_partition,
 )
 
 SERVICE = "m"
@@ -208,7 +208,7 @@
         run.is_open = False
         self._running[run.server].remove(run)
         self._result.served += 1
-        self._schedule_report(self._ledger.clear, run.fingerprint, self._now)
+        self._schedule_report(self._ledger.record_answer, run.fingerprint, self._now)
 
     def _unrelated_crash(self) -> None:
         up = [number for number, runs in self._running.items() if runs is not None]
@@ -255,11 +255,13 @@
         ]
         names = choose_witnesses([str(other) for other in others], self._rng)
         reached = [self._is_reachable(int(name)) for name in names]
-        if not config.use_witnesses or not speaks_for_cut(reached):
-            self._schedule_report(self._ledger.add, start, SERVICE, config.servers, at, suspects)
-        elif asked < ASK_AGAIN:
+        if not config.use_witnesses or not indicates_partition(reached):
+            self._schedule_report(
+                self._ledger.record_crash, start, SERVICE, config.servers, at, suspects
+            )
+        elif asked < MAX_RECHECKS:
             again = (number, start, at, suspects, asked + 1)
-            self._schedule(self._now + ASK_AGAIN_SECONDS * 1000, self._recheck, *again)
+            self._schedule(self._now + RECHECK_SECONDS * 1000, self._recheck, *again)
 
     def _recheck(self, number: int, *more) -> None:
         """Repeat the check unless the server can be reached, as it can after the cut has ended."""
--- a/tests/coordination/test_cells.py
+++ b/tests/coordination/test_cells.py
@@ -1,6 +1,6 @@
 """Tests for the partition of a large fleet into cells."""
 
-from siskinspoke.coordination.cells import MIN_CELL_ENGINES, MOST_VMS, Cell, Cells, Server
+from siskinspoke.coordination.cells import MAX_CELL_VMS, MIN_CELL_ENGINES, Cell, Cells, Server
 
 DOMAINS = ("a", "b", "c", "d", "e")
 
@@ -19,22 +19,22 @@
     def test_a_small_site_is_one_cell(self):
         cells = Cells(vms(9), engines(23))
         assert cells.all == [Cell("", 0)]
-        assert len(cells.servers(cells.of("10.0.0.0"), "m")) == 23
+        assert len(cells.servers(cells.cell_of("10.0.0.0"), "m")) == 23
 
     def test_vms_of_a_cell_do_not_grow_with_the_fleet(self):
         """With all VMs in one cell, every VM of the fleet would be notified of each request."""
         for count in (60, 195, 420, 2_000):
             cells = Cells(vms(count), engines(count))
             sizes = [len(cells.hosts(cell)) for cell in cells.all]
-            assert max(sizes) <= MOST_VMS
-            assert min(sizes) >= MOST_VMS // 2 - 1
+            assert max(sizes) <= MAX_CELL_VMS
+            assert min(sizes) >= MAX_CELL_VMS // 2 - 1
 
     def test_servers_of_a_cell_do_not_grow_with_the_fleet(self):
         for count in (195, 420, 2_000):
             cells = Cells(vms(count), engines(count * 2))
             sizes = [len(cells.servers(cell, "m")) for cell in cells.all]
             assert min(sizes) >= MIN_CELL_ENGINES
-            assert max(sizes) <= 3 * MOST_VMS
+            assert max(sizes) <= 3 * MAX_CELL_VMS
 
 
 class TestShares:
@@ -43,7 +43,7 @@
     def test_each_engine_is_watched_by_the_cells_that_use_it(self):
         cells = Cells(vms(195), engines(195))
         for server in engines(195):
-            tracking = cells.watching([server.name])
+            tracking = cells.cells_tracking([server.name])
             assert tracking
             assert all(server.name in cells.servers(cell, "m") for cell in tracking)
             assert all(cell.domain == server.domain for cell in tracking)
@@ -58,7 +58,7 @@
         """After the loss of all entry VMs of a domain, its healthy engines must not be idle."""
         servers = engines(195)
         cells = Cells(vms(195, DOMAINS[:4]), servers)
-        assert all(cells.watching([server.name]) for server in servers)
+        assert all(cells.cells_tracking([server.name]) for server in servers)
 
     def test_cells_only_use_engines_of_their_domain(self):
         cells = Cells(vms(195), engines(195))
@@ -75,7 +75,7 @@
         known = vms(195)
         known.pop("10.0.3.3")
         after = Cells(known, engines(195))
-        moved = [host for host in known if before.of(host) != after.of(host)]
+        moved = [host for host in known if before.cell_of(host) != after.cell_of(host)]
         assert len(moved) <= 1
 
     def test_removing_one_engine_moves_few(self):
@@ -84,7 +84,7 @@
         moved = [
             server.name
             for server in engines(195)[1:]
-            if before.watching([server.name]) != after.watching([server.name])
+            if before.cells_tracking([server.name]) != after.cells_tracking([server.name])
         ]
         assert len(moved) <= 1
 
@@ -92,4 +92,4 @@
         """VMs learn of each other in different orders."""
         one = Cells(vms(195), engines(195))
         other = Cells(dict(reversed(vms(195).items())), list(reversed(engines(195))))
-        assert all(one.of(host) == other.of(host) for host in vms(195))
+        assert all(one.cell_of(host) == other.cell_of(host) for host in vms(195))
--- a/tests/coordination/test_crash_watch.py
+++ b/tests/coordination/test_crash_watch.py
@@ -2,14 +2,14 @@
 
 from siskinspoke.coordination.crash_watch import CrashWatch, RunEnd
 from siskinspoke.coordination.crashes import Clear, Quarantined, Suspected
-from siskinspoke.coordination.fingerprints import Subject
+from siskinspoke.coordination.fingerprints import RequestIdentity
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol import decode_message, encode_message
 from siskinspoke.protocol.crashes import CrashNews
 from tests.feeds.test_follower import Quiet
 
-DEADLY = Subject("acme", "shop.example/stream/x", b"what no engine survives")
-HARMLESS = Subject("acme", "shop.example/stream/x", b"what any engine answers")
+DEADLY = RequestIdentity("acme", "shop.example/stream/x", b"what no engine survives")
+HARMLESS = RequestIdentity("acme", "shop.example/stream/x", b"what any engine answers")
 RAN_MS = 100.0
 DELIVERY_DELAY_MS = 3.0
 MAX_MESSAGES = 40
@@ -43,24 +43,26 @@
             number, news = self._pending.pop(0)
             self.messages += 1
             self.now += DELIVERY_DELAY_MS
-            fresh = self.watches[number].hear(news, self.now)
+            fresh = self.watches[number].apply(news, self.now)
             if any(fresh):
                 self._broadcast(number, fresh)
 
-    def crash(self, number: int, name: str, subject: Subject, end: RunEnd = RunEnd.BROKE) -> None:
+    def crash(
+        self, number: int, name: str, subject: RequestIdentity, end: RunEnd = RunEnd.BROKE
+    ) -> None:
         """Have a server crash under a request of one VM."""
         start = (name, 1)
-        run = self.watches[number].began(subject, [start], self.now)
+        run = self.watches[number].start_run(subject, [start], self.now)
         self.now += RAN_MS
-        self.watches[number].crashed(start, "m", 20, self.now, self.now)
-        self.watches[number].ended(run, end, self.now)
+        self.watches[number].record_crash(start, "m", 20, self.now, self.now)
+        self.watches[number].end_run(run, end, self.now)
         self.deliver()
 
-    def serve(self, number: int, subject: Subject) -> None:
+    def serve(self, number: int, subject: RequestIdentity) -> None:
         """Have a VM answer a request completely."""
-        run = self.watches[number].began(subject, [("well", 1)], self.now)
+        run = self.watches[number].start_run(subject, [("well", 1)], self.now)
         self.now += RAN_MS
-        self.watches[number].ended(run, RunEnd.WHOLE, self.now)
+        self.watches[number].end_run(run, RunEnd.WHOLE, self.now)
         self.deliver()
 
 
@@ -80,13 +82,13 @@
         vms = Vms(3)
         for number in range(3):
             start = (f"s{number}", 1)
-            runs = [vms.watches[0].began(DEADLY, [start], vms.now)]
-            runs.append(vms.watches[1].began(HARMLESS, [start], vms.now))
+            runs = [vms.watches[0].start_run(DEADLY, [start], vms.now)]
+            runs.append(vms.watches[1].start_run(HARMLESS, [start], vms.now))
             vms.now += RAN_MS
-            vms.watches[0].crashed(start, "m", 20, vms.now, vms.now)
+            vms.watches[0].record_crash(start, "m", 20, vms.now, vms.now)
             vms.deliver()
             for item, run in zip(vms.watches, runs, strict=False):
-                item.ended(run, RunEnd.BROKE, vms.now)
+                item.end_run(run, RunEnd.BROKE, vms.now)
         assert all(isinstance(item.judge(DEADLY, vms.now), Suspected) for item in vms.watches)
         vms.serve(2, HARMLESS)
         vms.now += 1_000.0
@@ -114,7 +116,7 @@
         vms = Vms(4)
         vms.crash(0, "s0", DEADLY)
         before = vms.messages
-        vms.watches[1].probe(DEADLY, vms.now)
+        vms.watches[1].record_probe(DEADLY, vms.now)
         vms.deliver()
         assert vms.messages - before < MAX_MESSAGES
 
@@ -122,39 +124,39 @@
         """The first report of a crash is lost; it arrives by a control VM, after the answer."""
         told, late = [], []
         first, last = make_watch(told), make_watch(late)
-        run = first.began(HARMLESS, [("s0", 1)], 0.0)
-        first.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        first.ended(run, RunEnd.BROKE, 100.0)
-        again = first.began(HARMLESS, [("s1", 1)], 110.0)
-        first.ended(again, RunEnd.WHOLE, 200.0)
+        run = first.start_run(HARMLESS, [("s0", 1)], 0.0)
+        first.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        first.end_run(run, RunEnd.BROKE, 100.0)
+        again = first.start_run(HARMLESS, [("s1", 1)], 110.0)
+        first.end_run(again, RunEnd.WHOLE, 200.0)
         crash, answer = told
-        last.hear(answer, 210.0)
-        last.hear(crash._replace(crashes=[crash.crashes[0]._replace(age_ms=120)]), 220.0)
+        last.apply(answer, 210.0)
+        last.apply(crash._replace(crashes=[crash.crashes[0]._replace(age_ms=120)]), 220.0)
         assert last.judge(HARMLESS, 230.0) == Clear()
 
     def test_answered_between_a_crash_and_its_report(self):
         """A VM's repeated answer is not forwarded, but clears a crash that is reported later."""
         told, reports = [], []
         one, other = make_watch(told), make_watch(reports)
-        run = one.began(HARMLESS, [("s0", 1)], 0.0)
-        one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        one.ended(run, RunEnd.BROKE, 100.0)
+        run = one.start_run(HARMLESS, [("s0", 1)], 0.0)
+        one.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        one.end_run(run, RunEnd.BROKE, 100.0)
         for at in (200.0, 900.0):
-            one.ended(one.began(HARMLESS, [("s1", 1)], at - 50.0), RunEnd.WHOLE, at)
-        other.began(HARMLESS, [("s2", 1)], 700.0)
-        other.crashed(("s2", 1), "m", 20, 850.0, 930.0)
+            one.end_run(one.start_run(HARMLESS, [("s1", 1)], at - 50.0), RunEnd.WHOLE, at)
+        other.start_run(HARMLESS, [("s2", 1)], 700.0)
+        other.record_crash(("s2", 1), "m", 20, 850.0, 930.0)
         told.clear()
-        one.hear(reports[0], 933.0)
+        one.apply(reports[0], 933.0)
         assert [item.fingerprint for news in told for item in news.served] == [HARMLESS.fingerprint]
-        other.hear(told[0], 936.0)
+        other.apply(told[0], 936.0)
         assert other.judge(HARMLESS, 940.0) == Clear()
 
     def test_messages_survive_encoding(self):
         told = []
         one = make_watch(told)
-        run = one.began(DEADLY, [("s0", 1)], 0.0)
-        one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        one.ended(run, RunEnd.BROKE, 100.0)
+        run = one.start_run(DEADLY, [("s0", 1)], 0.0)
+        one.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        one.end_run(run, RunEnd.BROKE, 100.0)
         assert decode_message(encode_message(told[0])).ok == told[0]
 
 
@@ -164,11 +166,11 @@
     def suspects(self, *ends, at=100.0):
         one = make_watch([])
         for number, (end, ended_at) in enumerate(ends):
-            subject = Subject("acme", "x", b"%d" % number)
-            run = one.began(subject, [("s0", 1)], 0.0)
+            subject = RequestIdentity("acme", "x", b"%d" % number)
+            run = one.start_run(subject, [("s0", 1)], 0.0)
             if end is not None:
-                one.ended(run, end, ended_at)
-        one.crashed(("s0", 1), "m", 20, at, at)
+                one.end_run(run, end, ended_at)
+        one.record_crash(("s0", 1), "m", 20, at, at)
         return len(one.ledger.find(("s0", 1)).suspects)
 
     def test_open_and_abandoned(self):
@@ -188,8 +190,8 @@
     def test_body_is_not_hashed_without_a_crash(self):
         """Bodies may have megabytes, so they are not hashed while there are no crashes."""
         one = make_watch([])
-        subject = Subject("acme", "x", b"body")
-        one.ended(one.began(subject, [("s0", 1)], 0.0), RunEnd.WHOLE, 50.0)
+        subject = RequestIdentity("acme", "x", b"body")
+        one.end_run(one.start_run(subject, [("s0", 1)], 0.0), RunEnd.WHOLE, 50.0)
         assert one.judge(subject, 60.0) == Clear()
         assert "fingerprint" not in vars(subject)
 
@@ -201,33 +203,33 @@
         one = make_watch([])
         for number in range(3):
             start = (f"s{number}", 1)
-            run = one.began(DEADLY, [start], 1_000.0 * number)
-            neighbour = one.began(HARMLESS, [start], 1_000.0 * number)
-            one.crashed(start, "m", 20, 1_000.0 * number + RAN_MS, 1_000.0 * number + RAN_MS)
-            one.ended(run, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
-            one.ended(neighbour, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
-        one.ended(one.began(HARMLESS, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
+            run = one.start_run(DEADLY, [start], 1_000.0 * number)
+            neighbour = one.start_run(HARMLESS, [start], 1_000.0 * number)
+            one.record_crash(start, "m", 20, 1_000.0 * number + RAN_MS, 1_000.0 * number + RAN_MS)
+            one.end_run(run, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
+            one.end_run(neighbour, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
+        one.end_run(one.start_run(HARMLESS, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
         return one
 
     def test_entry_vm_learns_from_control_vm(self):
         newcomer = make_watch([])
-        for news in self.after_crashes().all_news(4_000.0):
-            newcomer.hear(news, 50.0)
+        for news in self.after_crashes().all_reports(4_000.0):
+            newcomer.apply(news, 50.0)
         assert isinstance(newcomer.judge(DEADLY, 60.0), Quarantined)
         assert newcomer.judge(HARMLESS, 60.0) == Clear()
 
     def test_control_vm_that_lost_its_state(self):
         """After a restart of all control VMs, entry VMs send them what they observed themselves."""
         control = make_watch([])
-        for news in self.after_crashes().own_news(4_000.0):
-            control.hear(news, 50.0)
+        for news in self.after_crashes().own_reports(4_000.0):
+            control.apply(news, 50.0)
         assert isinstance(control.judge(DEADLY, 60.0), Quarantined)
         assert control.judge(HARMLESS, 60.0) == Clear()
 
     def test_nothing_if_all_are_cleared(self):
         one = make_watch([])
-        run = one.began(HARMLESS, [("s0", 1)], 0.0)
-        one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        one.ended(run, RunEnd.BROKE, 100.0)
-        one.ended(one.began(HARMLESS, [("s1", 1)], 110.0), RunEnd.WHOLE, 200.0)
-        assert one.all_news(300.0) == []
+        run = one.start_run(HARMLESS, [("s0", 1)], 0.0)
+        one.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        one.end_run(run, RunEnd.BROKE, 100.0)
+        one.end_run(one.start_run(HARMLESS, [("s1", 1)], 110.0), RunEnd.WHOLE, 200.0)
+        assert one.all_reports(300.0) == []
--- a/tests/coordination/test_crashes.py
+++ b/tests/coordination/test_crashes.py
@@ -6,9 +6,9 @@
 
 from siskinspoke.coordination.crashes import (
     CRASH_RETENTION_MS,
+    MAX_CRASHES,
     MAX_EARLY_ANSWERS,
     MAX_SUSPECTS,
-    MOST_CRASHES,
     PROBE_TIMEOUT_MS,
     QUARANTINE_MS,
     SETTLE_MS,
@@ -31,7 +31,7 @@
 def crash(ledger, number, at, *fingerprints, ran_ms=RAN_MS, servers=20):
     """Have a server crash with these requests open, each sent ``ran_ms`` before."""
     suspects = [Suspect(item, at - ran_ms) for item in fingerprints]
-    return ledger.add((f"server-{number}", 1), "m", servers, at, suspects)
+    return ledger.record_crash((f"server-{number}", 1), "m", servers, at, suspects)
 
 
 def crash_servers(ledger, times=3, first=0):
@@ -64,14 +64,14 @@
     def test_complete_answer_clears(self):
         ledger = CrashLedger()
         crash_servers(ledger)
-        assert ledger.clear(DEADLY, 3_100.0)
+        assert ledger.record_answer(DEADLY, 3_100.0)
         assert ledger.judge(DEADLY, LATER_MS) == Clear()
 
     def test_only_crashes_after_a_complete_answer_count(self):
         """A harmless request may become deadly, for example when the server's weights change."""
         ledger = CrashLedger()
         crash(ledger, 0, 1_000.0, DEADLY)
-        ledger.clear(DEADLY, 1_500.0)
+        ledger.record_answer(DEADLY, 1_500.0)
         crash_servers(ledger, 2, first=1)
         assert isinstance(ledger.judge(DEADLY, LATER_MS), Suspected)
         crash_servers(ledger, 1, first=3)
@@ -85,7 +85,7 @@
             ledger = CrashLedger()
             for number, name in order:
                 crash(ledger, number, 1_000.0 * (number + 1), name)
-            ledger.clear(HARMLESS, 3_500.0)
+            ledger.record_answer(HARMLESS, 3_500.0)
             verdicts.add((ledger.judge(DEADLY, LATER_MS), ledger.judge(HARMLESS, LATER_MS)))
         assert len(verdicts) == 1
         deadly, sound = verdicts.pop()
@@ -108,7 +108,7 @@
         ledger = CrashLedger()
         for number in range(3):
             crash(ledger, number, 1_000.0 * (number + 1), DEADLY, HARMLESS)
-        ledger.clear(HARMLESS, 3_200.0)
+        ledger.record_answer(HARMLESS, 3_200.0)
         assert isinstance(ledger.judge(DEADLY, LATER_MS), Quarantined)
 
     def test_different_cause_each_time(self):
@@ -177,25 +177,25 @@
     def test_one_attempt_after_the_quarantine(self):
         ledger, now = self.after(QUARANTINE_MS)
         assert ledger.judge(DEADLY, now) == Probation(3)
-        assert ledger.probe(DEADLY, now)
+        assert ledger.record_probe(DEADLY, now)
         assert isinstance(ledger.judge(DEADLY, now + 1), Quarantined)
         assert ledger.judge(DEADLY, now + PROBE_TIMEOUT_MS) == Probation(3)
 
     def test_attempt_that_crashes_another_server(self):
         ledger, now = self.after(QUARANTINE_MS)
-        ledger.probe(DEADLY, now)
+        ledger.record_probe(DEADLY, now)
         crash(ledger, 9, now + RAN_MS, DEADLY)
         assert ledger.judge(DEADLY, now + RAN_MS + 1) == Quarantined(QUARANTINE_MS - 1, 4)
 
     def test_attempt_that_is_answered_ends_the_quarantine(self):
         ledger, now = self.after(QUARANTINE_MS)
-        ledger.probe(DEADLY, now)
-        ledger.clear(DEADLY, now + RAN_MS)
+        ledger.record_probe(DEADLY, now)
+        ledger.record_answer(DEADLY, now + RAN_MS)
         assert ledger.judge(DEADLY, now + RAN_MS) == Clear()
 
     def test_dropped_after_retention(self):
         ledger, now = self.after(CRASH_RETENTION_MS + 1)
-        ledger.forget(now)
+        ledger.prune(now)
         assert ledger.is_empty
         assert ledger.judge(DEADLY, now) == Clear()
 
@@ -205,19 +205,19 @@
 
     def test_oldest_are_dropped_first(self):
         ledger = CrashLedger()
-        for number in range(MOST_CRASHES + 50):
+        for number in range(MAX_CRASHES + 50):
             crash(ledger, number, 10.0 * number, fingerprint_of("d", number))
-        assert len(ledger.crashes) == MOST_CRASHES
-        assert not ledger.knows(fingerprint_of("d", 0))
-        assert ledger.knows(fingerprint_of("d", MOST_CRASHES))
+        assert len(ledger.crashes) == MAX_CRASHES
+        assert not ledger.has_suspect(fingerprint_of("d", 0))
+        assert ledger.has_suspect(fingerprint_of("d", MAX_CRASHES))
 
     def test_early_answers_are_bounded(self):
         """A few answers to unknown requests are kept, in case their crash is reported later."""
         ledger = CrashLedger()
         for number in range(2 * MAX_EARLY_ANSWERS):
-            ledger.clear(fingerprint_of("5", number), 1.0)
+            ledger.record_answer(fingerprint_of("5", number), 1.0)
         crash(ledger, 0, 1_000.0, fingerprint_of("5", 0))
-        assert not ledger.served
+        assert not ledger.answered_at
         assert isinstance(ledger.judge(fingerprint_of("5", 0), LATER_MS), Suspected)
 
 
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -6,9 +6,9 @@
 from siskinspoke.bench.slopes import announcement
 from siskinspoke.coordination.directory import (
     RESTORED_LEASE_MS,
-    UNDATED,
+    UNKNOWN_INCARNATION,
+    AnnouncementEffect,
     Directory,
-    Heard,
     start_of,
 )
 from siskinspoke.protocol.announcements import load_of
@@ -32,12 +32,12 @@
     def test_leaving_is_final_for_an_incarnation(self):
         """Announcements from before and after a server left must not bring it back."""
         directory = Directory(LEASE_MS)
-        directory.hear(announced(5), 0)
-        assert directory.hear(announced(6, leaving=True), 1) is Heard.LEFT
-        assert directory.hear(announced(5), 2) is Heard.STALE
-        assert directory.hear(announced(9), 3) is Heard.STALE
+        directory.apply(announced(5), 0)
+        assert directory.apply(announced(6, leaving=True), 1) is AnnouncementEffect.LEFT
+        assert directory.apply(announced(5), 2) is AnnouncementEffect.STALE
+        assert directory.apply(announced(9), 3) is AnnouncementEffect.STALE
         assert directory.live(4) == []
-        assert directory.hear(announced(1, incarnation=8), 5) is Heard.JOINED
+        assert directory.apply(announced(1, incarnation=8), 5) is AnnouncementEffect.JOINED
 
     def test_leaving_server_keeps_announcing(self):
         """A server that left but still announces itself must not rejoin after a minute.
@@ -46,26 +46,28 @@
         server's.
         """
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1), 0)
-        directory.retire(*start_of(announced(1)))
+        directory.apply(announced(1), 0)
+        directory.mark_leaving(*start_of(announced(1)))
         for second in range(1, 200):
-            assert directory.hear(announced(1 + second), second * 1_000) is Heard.STALE
-            directory.forget(second * 1_000)
+            assert (
+                directory.apply(announced(1 + second), second * 1_000) is AnnouncementEffect.STALE
+            )
+            directory.prune(second * 1_000)
         assert directory.live(200_000) == []
-        assert directory.forget(300_000) == [announced(1).server]
+        assert directory.prune(300_000) == [announced(1).server]
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.permutations([announced(1), announced(2), announced(3), announced(4, leaving=True)]))
     def test_any_order_gives_the_same_result(self, items):
         directory = Directory(LEASE_MS)
         for item in items:
-            directory.hear(item, 0)
+            directory.apply(item, 0)
         assert directory.live(1) == []
 
     def test_older_incarnation_is_stale(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1, incarnation=8), 0)
-        assert directory.hear(announced(99, incarnation=7), 1) is Heard.STALE
+        directory.apply(announced(1, incarnation=8), 0)
+        assert directory.apply(announced(99, incarnation=7), 1) is AnnouncementEffect.STALE
         assert directory.superseded(announced(1).server, 7)
 
 
@@ -75,57 +77,63 @@
     def test_lower_number_of_a_later_incarnation_counts(self):
         """Otherwise a healthy server gets no requests until its numbers pass the old ones."""
         directory = Directory(LEASE_MS)
-        directory.hear(announced(90, incarnation=7), 0)
-        assert directory.hear(announced(1, incarnation=8), 10) is Heard.JOINED
+        directory.apply(announced(90, incarnation=7), 0)
+        assert directory.apply(announced(1, incarnation=8), 10) is AnnouncementEffect.JOINED
         assert directory.latest(announced(1).server).start == (announced(1).server, 8)
         assert len(directory.live(LEASE_MS + 5)) == 1
 
     def test_restart_after_a_deregistration(self):
         """A deregistration overrides all announcements of its incarnation, but no later one."""
         directory = Directory(LEASE_MS)
-        directory.hear(announced(2**60, incarnation=7, leaving=True), 0)
-        assert directory.hear(announced(1, incarnation=8), 10) is Heard.JOINED
+        directory.apply(announced(2**60, incarnation=7, leaving=True), 0)
+        assert directory.apply(announced(1, incarnation=8), 10) is AnnouncementEffect.JOINED
         assert len(directory.live(11)) == 1
 
     def test_late_announcements_of_the_previous_incarnation_are_stale(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1, incarnation=8), 0)
-        assert directory.hear(announced(91, incarnation=7), 1) is Heard.STALE
-        assert directory.hear(announced(2**60, incarnation=7, leaving=True), 2) is Heard.STALE
+        directory.apply(announced(1, incarnation=8), 0)
+        assert directory.apply(announced(91, incarnation=7), 1) is AnnouncementEffect.STALE
+        assert (
+            directory.apply(announced(2**60, incarnation=7, leaving=True), 2)
+            is AnnouncementEffect.STALE
+        )
         assert len(directory.live(3)) == 1
 
     def test_leaving_of_the_later_incarnation_counts(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(90, incarnation=7), 0)
-        assert directory.hear(announced(2**60, incarnation=8, leaving=True), 1) is Heard.LEFT
+        directory.apply(announced(90, incarnation=7), 0)
+        assert (
+            directory.apply(announced(2**60, incarnation=8, leaving=True), 1)
+            is AnnouncementEffect.LEFT
+        )
         assert directory.live(2) == []
 
     def test_answer_and_leaving_apply_to_one_incarnation(self):
         """An answer of the previous process arrives after the new one has announced itself."""
         directory = Directory(LEASE_MS)
-        directory.hear(announced(90, incarnation=7), 0)
-        directory.hear(announced(1, incarnation=8), 1)
-        directory.retire(announced(1).server, 7)
-        directory.prove(announced(1).server, 7, LEASE_MS)
+        directory.apply(announced(90, incarnation=7), 0)
+        directory.apply(announced(1, incarnation=8), 1)
+        directory.mark_leaving(announced(1).server, 7)
+        directory.record_answer(announced(1).server, 7, LEASE_MS)
         assert len(directory.live(2)) == 1
         assert directory.live(LEASE_MS + 2) == []
 
     def test_restored_later_incarnation_replaces_the_previous(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(90, incarnation=7), 0)
-        assert directory.remember(announced(3, incarnation=8), 1)
-        assert not directory.remember(announced(95, incarnation=7), 2)
+        directory.apply(announced(90, incarnation=7), 0)
+        assert directory.restore(announced(3, incarnation=8), 1)
+        assert not directory.restore(announced(95, incarnation=7), 2)
         assert directory.latest(announced(1).server).announcement.incarnation == 8
 
     def test_server_without_start_time_among_others_gets_nothing(self):
         """A foreign program announces itself for the service without a start time."""
         directory = Directory(LEASE_MS)
-        stranger = announcement(2, 1, "sala-a")._replace(incarnation=UNDATED)
-        directory.hear(stranger, 0)
+        stranger = announcement(2, 1, "sala-a")._replace(incarnation=UNKNOWN_INCARNATION)
+        directory.apply(stranger, 0)
         assert len(directory.live(1)) == 1
-        directory.hear(announced(1), 1)
+        directory.apply(announced(1), 1)
         assert [item.announcement for item in directory.live(2)] == [announced(1)]
-        assert [item.announcement for item in directory.remembered(announced(1).service)] == [
+        assert [item.announcement for item in directory.registered(announced(1).service)] == [
             announced(1)
         ]
 
@@ -142,12 +150,12 @@
         heard = st.lists(st.sampled_from(words), max_size=12)
         for vm in vms:
             for word in data.draw(heard):
-                vm.hear(word, 0)
+                vm.apply(word, 0)
         for vm in vms:
             for other in vms:
-                for record in other.all_known():
-                    vm.hear(record.announcement, 1)
-        last = {vm.latest(announced(1).server).order for vm in vms if vm.all_known()}
+                for record in other.all_records():
+                    vm.apply(record.announcement, 1)
+        last = {vm.latest(announced(1).server).sort_key for vm in vms if vm.all_records()}
         assert len(last) <= 1
         assert len({len(vm.live(2)) for vm in vms}) == 1
         if last:
@@ -164,17 +172,17 @@
 
     def test_lease_expires(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1), 0)
+        directory.apply(announced(1), 0)
         assert len(directory.live(LEASE_MS - 1)) == 1
         assert directory.live(LEASE_MS) == []
 
     def test_suspected_server_gets_nothing_for_a_lease(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1), 0)
-        directory.suspect(announced(1).server, 7, 10)
-        directory.hear(announced(2), 20)
+        directory.apply(announced(1), 0)
+        directory.suspend(announced(1).server, 7, 10)
+        directory.apply(announced(2), 20)
         assert directory.live(30) == []
-        directory.hear(announced(3), LEASE_MS)
+        directory.apply(announced(3), LEASE_MS)
         assert len(directory.live(LEASE_MS + 11)) == 1
 
 
@@ -183,22 +191,22 @@
 
     def test_load_renews_a_known_server(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1), 0)
+        directory.apply(announced(1), 0)
         later = announced(2)._replace(free_tokens=5)
-        assert directory.hear_load(load_of(later, 0), 1) is Heard.RENEWED
+        assert directory.apply_load(load_of(later, 0), 1) is AnnouncementEffect.RENEWED
         assert directory.live(2)[0].announcement.free_tokens == 5
 
     def test_load_of_an_unknown_server_or_incarnation(self):
         directory = Directory(LEASE_MS)
-        assert directory.hear_load(load_of(announced(1), 0), 0) is Heard.UNKNOWN
-        directory.hear(announced(1), 0)
+        assert directory.apply_load(load_of(announced(1), 0), 0) is AnnouncementEffect.UNKNOWN
+        directory.apply(announced(1), 0)
         newer = load_of(announced(1, incarnation=8), 0)
-        assert directory.hear_load(newer, 1) is Heard.UNKNOWN
+        assert directory.apply_load(newer, 1) is AnnouncementEffect.UNKNOWN
 
     def test_load_after_leaving_is_stale(self):
         directory = Directory(LEASE_MS)
-        directory.hear(announced(1, leaving=True), 0)
-        assert directory.hear_load(load_of(announced(2), 0), 1) is Heard.STALE
+        directory.apply(announced(1, leaving=True), 0)
+        assert directory.apply_load(load_of(announced(2), 0), 1) is AnnouncementEffect.STALE
 
 
 class TestRecalled:
@@ -206,27 +214,27 @@
 
     def test_expires_unless_renewed(self):
         directory = Directory(LEASE_MS)
-        assert directory.remember(announced(5), 0)
+        assert directory.restore(announced(5), 0)
         assert [item.announcement.seq for item in directory.live(RESTORED_LEASE_MS - 1)] == [5]
         assert directory.live(RESTORED_LEASE_MS + 1) == []
 
     def test_own_announcement_gives_a_full_lease(self):
         directory = Directory(LEASE_MS)
-        directory.remember(announced(5), 0)
-        assert directory.hear(announced(6), 100) is Heard.JOINED
+        directory.restore(announced(5), 0)
+        assert directory.apply(announced(6), 100) is AnnouncementEffect.JOINED
         assert len(directory.live(RESTORED_LEASE_MS + 100)) == 1
 
     def test_leaving_is_not_undone(self):
         """A server has left, but a control VM that missed this restores it from its storage."""
         directory = Directory(LEASE_MS)
-        directory.hear(announced(6, leaving=True), 0)
-        assert not directory.remember(announced(5), 1)
+        directory.apply(announced(6, leaving=True), 0)
+        assert not directory.restore(announced(5), 1)
         assert directory.live(2) == []
 
     def test_leaving_is_applied(self):
         directory = Directory(LEASE_MS)
-        directory.remember(announced(5), 0)
-        assert directory.hear(announced(6, leaving=True), 1) is Heard.LEFT
+        directory.restore(announced(5), 0)
+        assert directory.apply(announced(6, leaving=True), 1) is AnnouncementEffect.LEFT
         assert directory.live(2) == []
 
 
@@ -236,21 +244,21 @@
     def test_expired_server_is_not_used_beside_a_live_one(self):
         """Otherwise each VM of a large fleet keeps connecting to a dead server twice a second."""
         directory = Directory(1_000)
-        directory.hear(first_announcement_of("crashed"), 0)
-        directory.hear(first_announcement_of("well"), 1_500)
+        directory.apply(first_announcement_of("crashed"), 0)
+        directory.apply(first_announcement_of("well"), 1_500)
         crashed, well = directory.latest("crashed"), directory.latest("well")
-        assert directory.is_believed(well, 2_000)
-        assert not directory.is_believed(crashed, 2_000)
+        assert directory.is_routable(well, 2_000)
+        assert not directory.is_routable(crashed, 2_000)
 
     def test_cut_off_vm_uses_expired_servers(self):
         """A VM that no longer receives announcements keeps using the servers it knows."""
         directory = Directory(1_000)
-        directory.hear(first_announcement_of("known"), 0)
-        assert directory.is_believed(directory.latest("known"), 5_000)
-        assert directory.believed_among(["known", "other"], 5_000) == [directory.latest("known")]
+        directory.apply(first_announcement_of("known"), 0)
+        assert directory.is_routable(directory.latest("known"), 5_000)
+        assert directory.routable_among(["known", "other"], 5_000) == [directory.latest("known")]
 
     def test_live_servers_are_preferred_to_expired_ones(self):
         directory = Directory(1_000)
-        directory.hear(first_announcement_of("crashed"), 0)
-        directory.hear(first_announcement_of("well"), 1_500)
-        assert directory.believed_among(["crashed", "well"], 2_000) == [directory.latest("well")]
+        directory.apply(first_announcement_of("crashed"), 0)
+        directory.apply(first_announcement_of("well"), 1_500)
+        assert directory.routable_among(["crashed", "well"], 2_000) == [directory.latest("well")]
--- a/tests/coordination/test_fingerprints.py
+++ b/tests/coordination/test_fingerprints.py
@@ -2,16 +2,16 @@
 
 from dataclasses import replace
 
-from siskinspoke.coordination.fingerprints import Subject, shape_of
+from siskinspoke.coordination.fingerprints import RequestIdentity, shape_of
 
-SUBJECT = Subject("acme", "shop.example/stream/x", b"a prompt")
+SUBJECT = RequestIdentity("acme", "shop.example/stream/x", b"a prompt")
 
 
 class TestSubject:
     """Only customer, target and body decide whether two requests are equal."""
 
     def test_same_request(self):
-        again = Subject("acme", "shop.example/stream/x", b"a prompt")
+        again = RequestIdentity("acme", "shop.example/stream/x", b"a prompt")
         assert again.fingerprint == SUBJECT.fingerprint
         assert again.shape == SUBJECT.shape
 
@@ -26,9 +26,9 @@
 
     def test_parts_are_delimited(self):
         """Otherwise a customer could have another one's request taken for its own."""
-        one = Subject("ab", "c", b"d")
-        assert one.fingerprint != Subject("a", "bc", b"d").fingerprint
-        assert one.fingerprint != Subject("ab", "", b"cd").fingerprint
+        one = RequestIdentity("ab", "c", b"d")
+        assert one.fingerprint != RequestIdentity("a", "bc", b"d").fingerprint
+        assert one.fingerprint != RequestIdentity("ab", "", b"cd").fingerprint
 
     def test_shape_does_not_read_the_body(self):
         """Bodies may have megabytes, and every request is compared while there are suspects."""
