--- a/tests/coordination/test_known_entries.py
+++ b/tests/coordination/test_known_entries.py
@@ -20,30 +20,30 @@
         without knowing of each other's.
         """
         known = KnownEntries()
-        known.recall([FIRST, SECOND], 0.0)
-        known.joined(FIRST)
-        assert known.named(0.1) == {FIRST, SECOND}
+        known.restore([FIRST, SECOND], 0.0)
+        known.connected(FIRST)
+        assert known.announced(0.1) == {FIRST, SECOND}
 
     def test_lost_entry_is_no_longer_announced(self):
         known = KnownEntries()
-        known.recall([FIRST, SECOND], 0.0)
-        known.joined(FIRST)
-        assert known.named(LOST_ENTRY_ANNOUNCE_SECONDS) == {FIRST}
-        assert known.kept(LOST_ENTRY_ANNOUNCE_SECONDS) == {FIRST, SECOND}
+        known.restore([FIRST, SECOND], 0.0)
+        known.connected(FIRST)
+        assert known.announced(LOST_ENTRY_ANNOUNCE_SECONDS) == {FIRST}
+        assert known.stored(LOST_ENTRY_ANNOUNCE_SECONDS) == {FIRST, SECOND}
 
     def test_stored_over_a_second_loss(self):
         """Entry VMs are lost first, and the control VMs a few seconds later."""
         known = KnownEntries()
-        known.joined(FIRST)
-        known.left(FIRST, 10.0)
-        assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS / 2) == {FIRST}
-        known.forget(10.0 + LOST_ENTRY_STORE_SECONDS)
-        assert known.kept(10.0 + LOST_ENTRY_STORE_SECONDS) == set()
+        known.connected(FIRST)
+        known.disconnected(FIRST, 10.0)
+        assert known.stored(10.0 + LOST_ENTRY_STORE_SECONDS / 2) == {FIRST}
+        known.prune(10.0 + LOST_ENTRY_STORE_SECONDS)
+        assert known.stored(10.0 + LOST_ENTRY_STORE_SECONDS) == set()
 
     def test_overlapping_connections(self):
         """A new connection is opened before the end of the old one is detected."""
         known = KnownEntries()
-        known.joined(FIRST)
-        known.joined(FIRST)
-        known.left(FIRST, 1.0)
-        assert known.follows(FIRST)
+        known.connected(FIRST)
+        known.connected(FIRST)
+        known.disconnected(FIRST, 1.0)
+        assert known.is_connected(FIRST)
--- a/tests/coordination/test_limiters.py
+++ b/tests/coordination/test_limiters.py
@@ -8,15 +8,15 @@
     BACKUP_RATE_SHARE,
     MAX_LIMITERS,
     MIN_RATE,
-    PERMIT_MS,
+    PERMIT_LIFETIME_MS,
     PRIMARY_BURST,
     STALL_MS,
     STARTUP_QUIET_MS,
-    TAKE_OVER_MS,
-    Ask,
+    TAKEOVER_MS,
     Limiter,
     Outcome,
-    limiters_of,
+    PermitQuery,
+    choose_limiters,
 )
 
 START = ("i-1", 7)
@@ -24,9 +24,9 @@
 
 def make_query(
     host: str = "a", rate: float = 1.0, silent_ms: float = 0.0, patience_ms: float = 0
-) -> Ask:
+) -> PermitQuery:
     """Return a query for a permit."""
-    return Ask(host, START, rate, patience_ms, silent_ms)
+    return PermitQuery(host, START, rate, patience_ms, silent_ms)
 
 
 def count_granted(limiter: Limiter, seconds: float, rate: float, place: int = 0, **more) -> int:
@@ -54,20 +54,20 @@
     """Which VMs may grant permits for a server."""
 
     def test_limited_number_from_the_servers_domain(self):
-        found = limiters_of("i-1", "a", VMS)
+        found = choose_limiters("i-1", "a", VMS)
         assert len(found) == MAX_LIMITERS
         assert {VMS[host] for host in found} == {"a"}
 
     def test_other_domains_as_fallback(self):
-        assert len(limiters_of("i-1", "c", VMS)) == MAX_LIMITERS
-        assert limiters_of("i-1", "a", {"10.0.1": "b"}) == ("10.0.1",)
+        assert len(choose_limiters("i-1", "c", VMS)) == MAX_LIMITERS
+        assert choose_limiters("i-1", "a", {"10.0.1": "b"}) == ("10.0.1",)
 
     def test_all_vms_choose_the_same(self):
         backwards = dict(reversed(VMS.items()))
-        assert limiters_of("i-1", "a", VMS) == limiters_of("i-1", "a", backwards)
+        assert choose_limiters("i-1", "a", VMS) == choose_limiters("i-1", "a", backwards)
 
     def test_servers_are_spread(self):
-        firsts = {limiters_of(f"i-{number}", "a", VMS)[0] for number in range(60)}
+        firsts = {choose_limiters(f"i-{number}", "a", VMS)[0] for number in range(60)}
         assert len(firsts) == 5
 
 
@@ -78,7 +78,7 @@
     def test_within_the_bound(self, rate):
         """In any 4 s a server gets at most 1.5 times its limit plus five requests."""
         spares = MAX_LIMITERS - 1
-        seconds = 4.0 + PERMIT_MS / 1000
+        seconds = 4.0 + PERMIT_LIFETIME_MS / 1000
         rates = (1 + spares * BACKUP_RATE_SHARE) * max(MIN_RATE, rate) * seconds
         assert rates + PRIMARY_BURST + spares * BACKUP_BURST <= 1.5 * 4.0 * rate + 5
 
@@ -100,7 +100,7 @@
         assert limiter.decide(make_query(), 1, True, 20_000) == (Outcome.LATER, BACKUP_MAX_WAIT_MS)
 
     def test_backup_takes_over_from_silent_limiters(self):
-        count = count_granted(running_limiter(), 20, 10.0, place=1, silent_ms=TAKE_OVER_MS)
+        count = count_granted(running_limiter(), 20, 10.0, place=1, silent_ms=TAKEOVER_MS)
         assert count >= 200
 
     def test_vm_without_quorum_grants_a_small_share(self):
@@ -165,5 +165,5 @@
     def test_dropped_with_its_server(self):
         limiter = running_limiter()
         limiter.decide(make_query(), 0, True, 20_000)
-        limiter.forget(["i-2"])
+        limiter.prune(["i-2"])
         assert not limiter._buckets
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -9,7 +9,7 @@
 from siskinspoke.coordination.replica_types import FoundGroup, JoinGroup, RestoredState, Role
 from siskinspoke.protocol.replication import AppendReply, Join
 from siskinspoke.testing.elastic_group import ElasticGroup, run_elastic_schedule
-from siskinspoke.testing.replica_group import TIMES, numbers
+from siskinspoke.testing.replica_group import TIMES, random_schedule
 
 SCHEDULES = 60
 STEPS = 500
@@ -25,8 +25,8 @@
     @pytest.mark.parametrize("count", [3, 4, 6, 8])
     def test_nothing_accepted_is_lost(self, count):
         for seed in range(SCHEDULES):
-            group = run_elastic_schedule(count, seed, numbers(seed, STEPS))
-            assert group.settled(), f"seed {seed} does not settle"
+            group = run_elastic_schedule(count, seed, random_schedule(seed, STEPS))
+            assert group.has_converged(), f"seed {seed} does not settle"
             group.check_members()
 
 
--- a/tests/coordination/test_placement.py
+++ b/tests/coordination/test_placement.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from siskinspoke.coordination.books import Books, Job, Work
-from siskinspoke.coordination.passes import Writer, pass_ms, read_ms
+from siskinspoke.coordination.books import Job, Work, WorkTable
+from siskinspoke.coordination.passes import DecodingStream, pass_ms, prefill_ms
 from siskinspoke.coordination.placement import Candidate, Placement
 from siskinspoke.coordination.routes import EngineCosts
 
@@ -30,14 +30,16 @@
     """The cost model of passes."""
 
     def test_long_prompts_cost_more_than_their_length(self):
-        assert read_ms(COSTS, 45_000) == pytest.approx(254.2 + 186.3, abs=1)
-        assert read_ms(COSTS, 154_000) == pytest.approx(870 + 2_182, abs=2)
+        assert prefill_ms(COSTS, 45_000) == pytest.approx(254.2 + 186.3, abs=1)
+        assert prefill_ms(COSTS, 154_000) == pytest.approx(870 + 2_182, abs=2)
 
     def test_parts_share_tokens_and_pairs(self):
-        assert read_ms(COSTS, 154_000, 16) == pytest.approx(read_ms(COSTS, 154_000) / 16)
+        assert prefill_ms(COSTS, 154_000, 16) == pytest.approx(prefill_ms(COSTS, 154_000) / 16)
 
     def test_a_pass_grows_with_its_streams(self):
-        one, eight = pass_ms(COSTS, [Writer(5_000)]), pass_ms(COSTS, [Writer(5_000)] * 8)
+        one, eight = pass_ms(COSTS, [DecodingStream(5_000)]), pass_ms(
+            COSTS, [DecodingStream(5_000)] * 8
+        )
         assert 44 < one < eight < 60
         assert pass_ms(COSTS, []) == 0.0
 
@@ -46,25 +48,25 @@
     """Short prompts are packed onto engines with short streams unless that delays them too much."""
 
     def test_short_prompts_are_packed(self):
-        table = Books()
-        table.begin("w", Work(SHORT, ("e07",), -1_000.0))
-        table.wrote("w")
+        table = WorkTable()
+        table.add("w", Work(SHORT, ("e07",), -1_000.0))
+        table.mark_first_token("w")
         assert choose(table, SHORT).servers == ("e07",)
 
     def test_short_prompt_avoids_engine_that_prefills_a_long_prompt(self):
         """Behind the prefill of a long prompt, a short prompt would wait for seconds."""
-        table = Books()
+        table = WorkTable()
         for name in ENGINES[:-1]:
-            table.begin(name, Work(LONG, (name,), 0.0))
+            table.add(name, Work(LONG, (name,), 0.0))
         assert choose(table, SHORT).servers == (ENGINES[-1],)
 
     def test_full_engine_gets_no_more(self):
-        table = Books()
+        table = WorkTable()
         for number in range(COSTS.slots):
-            table.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
+            table.add(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
         assert choose(table, SHORT, ["e00", "e01"]).servers == ("e01",)
         for number in range(COSTS.slots // 2):
-            table.begin(f"q{number}", Work(SHORT, ("e00",), -1_000.0))
+            table.add(f"q{number}", Work(SHORT, ("e00",), -1_000.0))
         assert choose(table, SHORT, ["e00"]) is None
 
     def test_full_engine_is_preferred_to_one_with_a_long_prefill(self):
@@ -72,11 +74,11 @@
 
         A short prompt placed there waited 1.5 s, while a slot elsewhere is freed within 0.3 s.
         """
-        table = Books()
+        table = WorkTable()
         for number in range(COSTS.slots):
-            table.begin(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
-            table.wrote(f"w{number}")
-        table.begin("l", Work(LONG, ("e01",), 0.0))
+            table.add(f"w{number}", Work(SHORT, ("e00",), -1_000.0))
+            table.mark_first_token(f"w{number}")
+        table.add("l", Work(LONG, ("e01",), 0.0))
         place = choose(table, SHORT, ["e00", "e01"])
         assert place.servers == ("e00",)
         assert place.first_token_ms < 600
@@ -86,22 +88,22 @@
     """Long prompts are prefilled in small parts, away from streams that would pause too long."""
 
     def test_long_prompt_is_split(self):
-        place = choose(Books(), LONG)
+        place = choose(WorkTable(), LONG)
         assert len(place.servers) >= 2
         assert place.first_token_ms < LONG.target_ms / 2
 
     def test_long_prompt_avoids_short_streams(self):
         """A long prefill would pause short streams on the same engine for too long."""
-        table = Books()
+        table = WorkTable()
         for number, name in enumerate(ENGINES[:10]):
-            table.begin(f"w{number}", Work(SHORT, (name,), -1_000.0))
-            table.wrote(f"w{number}")
+            table.add(f"w{number}", Work(SHORT, (name,), -1_000.0))
+            table.mark_first_token(f"w{number}")
         assert set(choose(table, LONG).servers) <= set(ENGINES[10:])
 
     def test_decoding_engine_has_memory_for_the_whole_prompt(self):
-        table = Books()
+        table = WorkTable()
         for number, name in enumerate(ENGINES[:-1]):
-            table.begin(f"w{number}", Work(Job(250_000, 0, 3_000, 1_000), (name,), 0.0))
+            table.add(f"w{number}", Work(Job(250_000, 0, 3_000, 1_000), (name,), 0.0))
         assert choose(table, LONG).servers[0] == ENGINES[-1]
 
 
@@ -109,7 +111,7 @@
     """Prompts larger than one engine's memory are stored across several."""
 
     def test_parts_fit(self):
-        place = choose(Books(), HUGE)
+        place = choose(WorkTable(), HUGE)
         kept = sum(place.held)
         head = HUGE.tokens + HUGE.max_tokens - kept
         assert max(place.held) <= COSTS.memory_tokens
@@ -117,9 +119,9 @@
         assert len(place.held) == len(place.servers) - 1
 
     def test_no_place_without_free_memory(self):
-        table = Books()
+        table = WorkTable()
         for name in ENGINES:
-            table.begin(name, Work(Job(300_000, 0, 3_000, 1_000), (name,), 0.0))
+            table.add(name, Work(Job(300_000, 0, 3_000, 1_000), (name,), 0.0))
         assert choose(table, HUGE) is None
 
 
@@ -127,25 +129,25 @@
     """Work is removed again, at its end or after a timeout."""
 
     def test_prefill_only_engine_is_released_after_the_first_token(self):
-        table = Books()
-        table.begin("w", Work(LONG, ("e00", "e01"), 0.0))
-        table.wrote("w")
-        assert not table.engine("e01").works
-        assert table.engine("e00").works
+        table = WorkTable()
+        table.add("w", Work(LONG, ("e00", "e01"), 0.0))
+        table.mark_first_token("w")
+        assert not table.engine("e01").in_flight
+        assert table.engine("e00").in_flight
 
     def test_engine_that_keeps_a_part_is_not_released(self):
-        table = Books()
-        table.begin("w", Work(HUGE, ("e00", "e01", "e02"), 0.0, held=(300_000, 0)))
-        table.wrote("w")
-        assert table.engine("e01").works
-        assert not table.engine("e02").works
+        table = WorkTable()
+        table.add("w", Work(HUGE, ("e00", "e01", "e02"), 0.0, held=(300_000, 0)))
+        table.mark_first_token("w")
+        assert table.engine("e01").in_flight
+        assert not table.engine("e02").in_flight
 
     def test_work_without_an_end_expires(self):
         """Work of a VM that died must not stay in the tables of the others for ever."""
-        table = Books()
-        table.begin("w", Work(LONG, ("e00", "e01"), 0.0))
-        table.forget(60_000.0, [])
-        assert table.open_works == 0
+        table = WorkTable()
+        table.add("w", Work(LONG, ("e00", "e01"), 0.0))
+        table.expire(60_000.0, [])
+        assert table.work_count == 0
 
 
 class TestBurst:
@@ -157,7 +159,7 @@
 
     def test_long_prompts_rarely_disrupt_short_streams(self):
         rng = random.Random(5)
-        table = Books()
+        table = WorkTable()
         placement = Placement(table)
         engines = offered([f"e{number}" for number in range(23)])
         events = [(rng.uniform(0, 8_000), SHORT) for _ in range(480)]
@@ -166,17 +168,17 @@
         for number, (at, job) in enumerate(sorted(events, key=lambda item: item[0])):
             while ends and ends[0][0] <= at:
                 _, kind, name = ends.pop(0)
-                table.wrote(name) if kind == "wrote" else table.end(name)
+                table.mark_first_token(name) if kind == "wrote" else table.remove(name)
             place = placement.choose(COSTS, job, engines, at, rng)
             if job is LONG:
                 parts += len(place.servers)
-                extra = read_ms(COSTS, job.tokens, len(place.servers))
+                extra = prefill_ms(COSTS, job.tokens, len(place.servers))
                 disrupted += sum(
-                    any(work.job is SHORT for work in table.engine(name).works.values())
+                    any(work.job is SHORT for work in table.engine(name).in_flight.values())
                     and extra > 0.8 * SHORT.pause_ms
                     for name in place.servers
                 )
-            table.begin(str(number), Work(job, place.servers, at))
+            table.add(str(number), Work(job, place.servers, at))
             ends.append((at + place.first_token_ms, "wrote", str(number)))
             ends.append((at + place.first_token_ms + 1_700, "end", str(number)))
             ends.sort()
@@ -196,7 +198,7 @@
     def full_engine_share(self, lag_ms: float, seed: int) -> float:
         """Return the share of prompts that reach an engine without a free slot."""
         rng = random.Random(seed)
-        table = Books()
+        table = WorkTable()
         placement = Placement(table)
         engines = offered([f"e{number}" for number in range(78)])
         slots_used = {item.server: 0 for item in engines}
@@ -209,11 +211,11 @@
                 if kind == "free":
                     slots_used[detail] -= 1
                 elif kind == "began":
-                    table.begin(name, detail)
+                    table.add(name, detail)
                 elif kind == "wrote":
-                    table.wrote(name)
+                    table.mark_first_token(name)
                 else:
-                    table.end(name)
+                    table.remove(name)
             place = placement.choose(self.COSTS, SHORT, engines, at, rng)
             name, server = str(count), place.servers[0]
             to_full += slots_used[server] >= self.COSTS.slots
--- a/tests/coordination/test_replica.py
+++ b/tests/coordination/test_replica.py
@@ -22,7 +22,7 @@
     TIMES,
     InvariantError,
     ReplicaGroup,
-    numbers,
+    random_schedule,
     run_schedule,
 )
 
@@ -41,13 +41,13 @@
     @pytest.mark.parametrize("count", [3, 5])
     def test_nothing_accepted_is_lost(self, count):
         for seed in range(SCHEDULES):
-            group = run_schedule(count, seed, numbers(seed, STEPS))
-            assert group.settled(), f"seed {seed} does not settle"
+            group = run_schedule(count, seed, random_schedule(seed, STEPS))
+            assert group.has_converged(), f"seed {seed} does not settle"
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.lists(st.integers(0, 2**16 - 1), max_size=250))
     def test_shrinkable_schedules(self, steps):
-        assert run_schedule(3, 0, iter(steps)).settled()
+        assert run_schedule(3, 0, iter(steps)).has_converged()
 
 
 class CountsErasedDisks(Replica):
@@ -91,7 +91,7 @@
     def test_schedules_catch(self, mutant):
         with pytest.raises(InvariantError):
             for seed in range(MUTANT_SCHEDULES):
-                run_schedule(3, seed, numbers(seed, STEPS), mutant)
+                run_schedule(3, seed, random_schedule(seed, STEPS), mutant)
 
 
 FIRST_TERM = HardState(1, "")
@@ -117,7 +117,7 @@
         name = next(n for n, r in group.replicas.items() if r.role is Role.LEADER)
         group.cuts = {(name, other) for other in group.names}
         group.cuts |= {(other, name) for other in group.names}
-        group.pass_time(TIMES.election_ms + 1)
+        group.advance_clock(TIMES.election_ms + 1)
         assert group.replicas[name].role is not Role.LEADER
 
     def test_replica_with_longer_log_adopts_higher_term(self):
@@ -319,7 +319,7 @@
         for seed in range(150):
             group = ReplicaGroup(3, seed)
             group.heal(3_000)
-            for number in numbers(seed, STEPS):
+            for number in random_schedule(seed, STEPS):
                 group.step(number)
                 holders = [
                     name
--- a/tests/coordination/test_routing.py
+++ b/tests/coordination/test_routing.py
@@ -4,22 +4,22 @@
 
 import pytest
 
-from siskinspoke.bench.policies import LeastTokens, Product
+from siskinspoke.bench.policies import LeastTokens, ProductPolicy
 from siskinspoke.bench.policy_bench import (
     PolicyBench,
     Scenario,
     fairness_index,
-    first_tokens,
+    first_token_times,
     max_min_shares,
     percentile,
 )
 from siskinspoke.bench.slopes import announcement
 from siskinspoke.conf.settings import EntryVM
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.fairness import FairShares, patience_ms
+from siskinspoke.coordination.fairness import FairShares, max_backlog_ms
 from siskinspoke.coordination.prefixes import PrefixIndex
-from siskinspoke.coordination.retries import START_CREDIT, RetryBudget
-from siskinspoke.coordination.routing import Router, Work
+from siskinspoke.coordination.retries import INITIAL_CREDIT, RetryBudget
+from siskinspoke.coordination.routing import Router, RoutingRequest
 from siskinspoke.coordination.watchers import watchers
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.loadgen.mixes import MIXES
@@ -31,7 +31,7 @@
     """Return a router that knows the servers of these announcements."""
     directory = Directory(3_000)
     for item in announcements:
-        directory.hear(item, 0)
+        directory.apply(item, 0)
     return Router(directory, PrefixIndex(), "sala-a")
 
 
@@ -44,7 +44,7 @@
 
 def work(tokens=2_000, remaining=10_000.0, output=10, blocks=()):
     """Return a request."""
-    return Work("redactor", tokens, output, 0, 0, list(blocks), remaining)
+    return RoutingRequest("redactor", tokens, output, 0, 0, list(blocks), remaining)
 
 
 def choose(selector, item):
@@ -110,7 +110,7 @@
         shares.record("light", 100, 0)
         weights = {"heavy": 1.0, "light": 1.0}
         assert shares.ratio("heavy", weights, 0) == pytest.approx(1.8)
-        assert patience_ms(1.8, 6_000) < patience_ms(0.2, 6_000) == 6_000
+        assert max_backlog_ms(1.8, 6_000) < max_backlog_ms(0.2, 6_000) == 6_000
 
     def test_max_min_shares(self):
         assert max_min_shares({"a": 10, "b": 100, "c": 100}, 110) == {"a": 10, "b": 50, "c": 50}
@@ -123,7 +123,7 @@
         budget = RetryBudget(0.25)
         for _ in range(100):
             budget.first_attempt()
-        assert sum(budget.take() for _ in range(100)) == 25 + START_CREDIT
+        assert sum(budget.spend() for _ in range(100)) == 25 + INITIAL_CREDIT
 
 
 class TestWatchers:
@@ -147,19 +147,19 @@
         return PolicyBench(scenario).run()
 
     def test_long_prompts_hardly_delay_short_ones(self):
-        product = self.run(Product(), 45, 2_000)
-        alone = self.run(Product(), 45, 2_000, without_longs=True)
+        product = self.run(ProductPolicy(), 45, 2_000)
+        alone = self.run(ProductPolicy(), 45, 2_000, without_longs=True)
         baseline = self.run(LeastTokens(), 45, 2_000, admission=False)
-        slowdown = percentile(first_tokens(product, 0), 0.95) / percentile(
-            first_tokens(alone, 0), 0.95
+        slowdown = percentile(first_token_times(product, 0), 0.95) / percentile(
+            first_token_times(alone, 0), 0.95
         )
         assert slowdown < 1.35
-        assert percentile(first_tokens(product, 0), 0.95) * 3 < percentile(
-            first_tokens(baseline, 0), 0.95
+        assert percentile(first_token_times(product, 0), 0.95) * 3 < percentile(
+            first_token_times(baseline, 0), 0.95
         )
 
     def test_overload_starves_no_customer_or_length_class(self):
-        results = self.run(Product(), 120, 6_000)
+        results = self.run(ProductPolicy(), 120, 6_000)
         late = sum(not item.on_time and not item.refused for item in results)
         assert late <= 0.005 * len(results)
         assert fairness_index(results) > 0.95
--- a/tests/coordination/test_token_bucket.py
+++ b/tests/coordination/test_token_bucket.py
@@ -19,8 +19,8 @@
     def test_token_taken_in_advance(self):
         bucket = TokenBucket(1.0, 0)
         bucket.take(2.0, 1.0, 0)
-        assert bucket.take(2.0, 1.0, 0, patience_ms=500) == (True, 500)
-        assert bucket.take(2.0, 1.0, 0, patience_ms=500) == (False, 1_000)
+        assert bucket.take(2.0, 1.0, 0, max_wait_ms=500) == (True, 500)
+        assert bucket.take(2.0, 1.0, 0, max_wait_ms=500) == (False, 1_000)
 
     def test_backward_clock_step_grants_nothing(self):
         bucket = TokenBucket(0.0, 1_000)
--- a/tests/core/test_docs.py
+++ b/tests/core/test_docs.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from siskinspoke.conf.defaults import CONTROL, ENTRY, LIMITS
-from siskinspoke.core.codes import FACTS, ResultCode
+from siskinspoke.core.codes import CODE_INFO, ResultCode
 
 ROOT = Path(__file__).parents[2]
 
@@ -15,7 +15,7 @@
     def test_every_code_has_its_row(self):
         page = (ROOT / "docs/reference/codes.md").read_text()
         for code in ResultCode:
-            facts = FACTS[code]
+            facts = CODE_INFO[code]
             row = (
                 f"| {int(code)} | {code.name} | {facts.status} | {facts.run.value} "
                 f"| {facts.exit_code} | {facts.meaning} |"
--- a/tests/entry/test_back_off.py
+++ b/tests/entry/test_back_off.py
@@ -8,7 +8,7 @@
 from siskinspoke.bench.slopes import announcement
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.prefixes import PrefixIndex
-from siskinspoke.coordination.routing import Router, Work
+from siskinspoke.coordination.routing import Router, RoutingRequest
 from siskinspoke.core.counters import Counters
 from siskinspoke.entry.backend import Backend
 from siskinspoke.entry.context import now_ms, target_of
@@ -36,7 +36,7 @@
         for number in range(servers):
             announced = announcement(number + 1, 1, "sala-a")
             announced = announced._replace(host=HOST, port=port, queued=[], free_tokens=400_000)
-            directory.hear(
+            directory.apply(
                 announced._replace(total_tokens=400_000, prefill_rate=40_000.0), now_ms()
             )
         router = Router(directory, PrefixIndex(), "sala-a", backend.back_offs)
@@ -47,7 +47,7 @@
             assembler = Assembler("r", 1, target.incarnation, 0)
             await backend.stream(target, path, {}, assembler, deliver, print, lambda: True)
         nursery.cancel_scope.cancel()
-        work = Work("redactor", 2_000, 10, 0, 0, [], 10_000.0)
+        work = RoutingRequest("redactor", 2_000, 10, 0, 0, [], 10_000.0)
         return target.server, router.choose(work, now_ms(), random.Random(1))
 
 
--- a/tests/entry/test_delivery.py
+++ b/tests/entry/test_delivery.py
@@ -6,7 +6,7 @@
 import trio
 
 from siskinspoke.core.counters import Counters
-from siskinspoke.core.standstill import Standstill
+from siskinspoke.core.standstill import StallDetector
 from siskinspoke.entry.backend import Backend, Completed, Lost
 from siskinspoke.entry.completions import CompletionJob
 from siskinspoke.entry.requests import Completion
@@ -25,7 +25,7 @@
     configuration = SimpleNamespace(limits=limits)
     context = SimpleNamespace(
         holder=SimpleNamespace(current=SimpleNamespace(configuration=configuration)),
-        stall_detector=Standstill(0.0),
+        stall_detector=StallDetector(0.0),
     )
     completion = Completion(
         "m", "x" * 40, 4, stream=True, timeout_ms=9_000, idempotent=True, key=None
--- a/tests/entry/test_going_on.py
+++ b/tests/entry/test_going_on.py
@@ -13,7 +13,7 @@
 from siskinspoke.coordination.routing import Choice
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.core.counters import Counters
-from siskinspoke.core.standstill import Standstill
+from siskinspoke.core.standstill import StallDetector
 from siskinspoke.entry.backend import Completed, Lost
 from siskinspoke.entry.completions import CompletionJob
 from siskinspoke.entry.requests import Caller, Completion
@@ -80,14 +80,14 @@
         router=router,
         retries=retries,
         counters=Counters(),
-        directory=SimpleNamespace(suspect=lambda *_: None),
+        directory=SimpleNamespace(suspend=lambda *_: None),
         janitor=SimpleNamespace(add=lambda _: None),
         crashes=CrashWatch(lambda news: None, Counters(), Quiet()),
         is_alive=lambda target: False,
         request_opened=lambda: None,
         request_closed=lambda: None,
         rng=random.Random(1),
-        stall_detector=Standstill(0.0),
+        stall_detector=StallDetector(0.0),
     )
     completion = Completion(
         "m", "x" * 40, 4, stream=True, timeout_ms=seconds * 1000, idempotent=True, key=None
@@ -120,10 +120,10 @@
 
         async def run() -> CompletionJob:
             retries = RetryBudget(1.0)
-            while retries.take():
+            while retries.spend():
                 pass
             job = make_job(FakeRouter(2), retries, 5)
-            job._context.retries = SimpleNamespace(take=retries.take, first_attempt=lambda: None)
+            job._context.retries = SimpleNamespace(spend=retries.spend, first_attempt=lambda: None)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(job.run, make_choice(1))
                 await trio.sleep(0.3)
--- a/tests/entry/test_refusals.py
+++ b/tests/entry/test_refusals.py
@@ -21,7 +21,7 @@
         """Guards against recording each server behind a partition as crashed, with suspects."""
         directory = Directory(4_800)
         for number in range(4):
-            directory.hear(announcement(number, 3, "sala-a"), now_ms())
+            directory.apply(announcement(number, 3, "sala-a"), now_ms())
         first, *_ = directory.live(now_ms())
         recorded_crashes = []
 
--- a/tests/gateway/test_cells.py
+++ b/tests/gateway/test_cells.py
@@ -7,19 +7,19 @@
 import trio.testing
 
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import Books, Job, Work
+from siskinspoke.coordination.books import Job, Work, WorkTable
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.domains import Domains
+from siskinspoke.coordination.domains import DomainMonitor
 from siskinspoke.coordination.placement import Place
 from siskinspoke.coordination.rate_limits import RateLimits
-from siskinspoke.coordination.retries import CommonBudget
-from siskinspoke.coordination.standing import Standing, Trouble
-from siskinspoke.coordination.widening import is_short
+from siskinspoke.coordination.retries import SharedRetryBudget
+from siskinspoke.coordination.standing import FailureKind, ServerHealth
+from siskinspoke.coordination.widening import lacks_room
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.questions import Queries
-from siskinspoke.gateway.widening import ask_others
+from siskinspoke.gateway.widening import request_remote_place
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion, RateLimitNews, WorkNews
@@ -46,7 +46,7 @@
         self.directory = Directory(60_000)
         for domain in DOMAINS:
             for number in range(ENGINES_A_DOMAIN):
-                self.directory.hear(engine(number, domain), 0)
+                self.directory.apply(engine(number, domain), 0)
         self.vms = [
             EntryPeer(f"10.0.{index}.{number}", PORT, domain)
             for index, domain in enumerate(DOMAINS)
@@ -70,13 +70,13 @@
         self.sent.append((item, [(host, port)]))
 
 
-def peers_of(fleet: Fleet, books: Books) -> Peers:
+def peers_of(fleet: Fleet, books: WorkTable) -> Peers:
     return Peers(
         "10.0.0.0",
         "a",
         books,
-        CommonBudget(0.2, 100),
-        Domains(),
+        SharedRetryBudget(0.2, 100),
+        DomainMonitor(),
         fleet.cells,
         Queries("10.0.0.0", PORT, lambda question: None, Counters()),
         Counters(),
@@ -90,7 +90,7 @@
 
     def test_fleet_has_cells_of_bounded_size(self):
         fleet = Fleet()
-        assert len(fleet.cells.others) == 3
+        assert len(fleet.cells.other_cells) == 3
         assert len(fleet.cells.addresses(fleet.cells.own_cell)) == VMS_A_DOMAIN // 2 - 1
         assert len(fleet.cells.servers("m")) == ENGINES_A_DOMAIN // 2
 
@@ -99,11 +99,11 @@
         fleet, port = Fleet(), Port()
 
         async def run():
-            peers = peers_of(fleet, Books())
-            number = peers.began(Work(JOB, (server_of(fleet),), 0.0))
+            peers = peers_of(fleet, WorkTable())
+            number = peers.begin_work(Work(JOB, (server_of(fleet),), 0.0))
             await peers._send_updates(port)
-            peers.wrote(number)
-            peers.ended(number)
+            peers.mark_first_token(number)
+            peers.end_work(number)
             await peers._send_updates(port)
 
         trio.run(run)
@@ -131,7 +131,7 @@
         fleet, port = Fleet(), Port()
 
         async def run():
-            peers = peers_of(fleet, Books())
+            peers = peers_of(fleet, WorkTable())
             peers.rate_limit(("b-3", 1), 2.0, 0.0)
             await peers._send_updates(port)
 
@@ -146,8 +146,8 @@
         fleet, port = Fleet(), Port()
 
         async def run():
-            peers = peers_of(fleet, Books())
-            peers.began(Work(JOB, (min(fleet.cells.servers("m")),), 0.0))
+            peers = peers_of(fleet, WorkTable())
+            peers.begin_work(Work(JOB, (min(fleet.cells.servers("m")),), 0.0))
             await peers._send_updates(port)
             await peers._send_updates(port)
             assert len(port.sent) == 1
@@ -169,12 +169,12 @@
         rng=random.Random(1),
         cells=fleet.cells,
         directory=fleet.directory,
-        domains=Domains(),
-        standing=Standing(),
+        domains=DomainMonitor(),
+        standing=ServerHealth(),
         rate_limits=RateLimits(),
         back_offs=BackOffs(),
         settings=SimpleNamespace(failure_domain="a"),
-        questions=SimpleNamespace(request_offers=request_offers),
+        queries=SimpleNamespace(request_offers=request_offers),
         counters=Counters(),
     )
     return gateway
@@ -183,16 +183,16 @@
 def place_in_other_cells(gateway, found: Place | None, excluded=()) -> Place | None:
     clock = trio.testing.MockClock()
     request = SimpleNamespace(service="m", offers=None, widened=False)
-    return trio.run(ask_others, gateway, request, JOB, excluded, found, clock=clock)
+    return trio.run(request_remote_place, gateway, request, JOB, excluded, found, clock=clock)
 
 
 class TestWidening:
     """A cluster of long prompts fills one cell while others have capacity."""
 
     def test_cell_with_capacity_sends_no_query(self):
-        assert not is_short(Place(("a-1",), 110.0), 300.0)
-        assert is_short(Place(("a-1",), 250.0), 300.0)
-        assert is_short(None, 300.0)
+        assert not lacks_room(Place(("a-1",), 110.0), 300.0)
+        assert lacks_room(Place(("a-1",), 250.0), 300.0)
+        assert lacks_room(None, 300.0)
 
     def test_full_cell_takes_best_offer(self):
         offers = [PlaceOffer(1, ["a-1"], 150.0, []), PlaceOffer(1, ["b-1"], 90.0, [])]
@@ -209,13 +209,13 @@
         """The queried VM is reachable, but the engines of its failure domain are not."""
         gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
         for name in ("b-4", "b-5"):
-            gateway.domains.unreached("b", name, START_MS)
+            gateway.domains.record_failure("b", name, START_MS)
         assert place_in_other_cells(gateway, None) is None
         assert all(host.startswith("10.0.0.") for host, _ in gateway.queried)
 
     def test_offer_of_failed_server_is_declined(self):
         gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
-        gateway.standing.failed("b-1", Trouble.SILENT, START_MS)
+        gateway.standing.record_failure("b-1", FailureKind.SILENT, START_MS)
         assert place_in_other_cells(gateway, None) is None
 
 
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -2,10 +2,10 @@
 
 import trio
 
-from siskinspoke.coordination.books import Books, Job, Work
+from siskinspoke.coordination.books import Job, Work, WorkTable
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.domains import Domains
-from siskinspoke.coordination.retries import CommonBudget
+from siskinspoke.coordination.domains import DomainMonitor
+from siskinspoke.coordination.retries import SharedRetryBudget
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.peers import PEER_TIMEOUT_MS, Peers
@@ -28,15 +28,15 @@
         announcement = Announcement(
             name, 1, 1, "a", host, 1, "", "m", False, False, 0, 0, 0, [], 0, 0
         )
-        directory.hear(announcement, 0)
+        directory.apply(announcement, 0)
     known = [EntryPeer(other, PORT, "a") for other in others]
     return CellView(EntryPeer(host, PORT, "a"), directory, lambda: known, lambda: 0, Quiet())
 
 
-def peers(host: str, books: Books, domains: Domains | None = None) -> Peers:
+def peers(host: str, books: WorkTable, domains: DomainMonitor | None = None) -> Peers:
     """Return the peers of a VM that has no other VMs to send to."""
-    budget = CommonBudget(0.2, 100)
-    domains = domains or Domains()
+    budget = SharedRetryBudget(0.2, 100)
+    domains = domains or DomainMonitor()
     return Peers(
         host,
         "a",
@@ -61,7 +61,7 @@
     """If the updates on finished work are lost, engines must not appear busy for 20 s."""
 
     def run(self, scenario):
-        books = Books()
+        books = WorkTable()
 
         async def main():
             await scenario(peers("10.0.0.1", books), books)
@@ -75,7 +75,7 @@
             await mine._handle(work_began("10.0.0.2", "a", 1))
             await mine._handle(work_began("10.0.0.2", "a", 2))
             await mine._handle(work_began("10.0.0.2", "b", 1))
-            assert books.open_works == 1
+            assert books.work_count == 1
 
         self.run(scenario)
 
@@ -87,17 +87,17 @@
             await mine._handle(work_began("10.0.0.3", "a", 1))
             now = trio.current_time() * 1000
             mine.expire_peers(now + PEER_TIMEOUT_MS - 100)
-            assert books.open_works == 2
+            assert books.work_count == 2
             mine.expire_peers(now + PEER_TIMEOUT_MS + 100)
-            assert books.open_works == 0
+            assert books.work_count == 0
 
         self.run(scenario)
 
     def test_own_work_is_kept(self):
         async def scenario(mine, books):
-            mine.began(Work(JOB, ("e1",), 0.0))
+            mine.begin_work(Work(JOB, ("e1",), 0.0))
             mine.expire_peers(trio.current_time() * 1000 + 60_000)
-            assert books.open_works == 1
+            assert books.work_count == 1
 
         self.run(scenario)
 
@@ -106,7 +106,7 @@
             await mine._handle(work_began("10.0.0.2", "a", 1))
             await mine._handle(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
             mine.expire_peers(trio.current_time() * 1000 + 100)
-            assert books.open_works == 1
+            assert books.work_count == 1
 
         self.run(scenario)
 
@@ -116,7 +116,7 @@
 
     def test_begin_and_end_reach_other_vm(self):
         """Two VMs exchange updates by datagram: first work begins, then it ends."""
-        books = {host: Books() for host in ("127.0.0.1", "127.0.0.2")}
+        books = {host: WorkTable() for host in ("127.0.0.1", "127.0.0.2")}
 
         async def main():
             async with trio.open_nursery() as nursery:
@@ -128,8 +128,8 @@
                         host,
                         "a",
                         books[host],
-                        CommonBudget(0.2, 100),
-                        Domains(),
+                        SharedRetryBudget(0.2, 100),
+                        DomainMonitor(),
                         cell_view(host, others),
                         Queries(host, PORT, lambda question: None, Counters()),
                         Counters(),
@@ -137,13 +137,13 @@
                         lambda _server: None,
                     )
                     nursery.start_soon(running[host].run, port)
-                number = running["127.0.0.1"].began(Work(JOB, ("e1",), 0.0))
-                await until(lambda: books["127.0.0.2"].open_works == 1)
-                running["127.0.0.1"].wrote(number)
-                running["127.0.0.1"].ended(number)
+                number = running["127.0.0.1"].begin_work(Work(JOB, ("e1",), 0.0))
+                await until(lambda: books["127.0.0.2"].work_count == 1)
+                running["127.0.0.1"].mark_first_token(number)
+                running["127.0.0.1"].end_work(number)
                 running["127.0.0.1"].update_pace("e2", 3.0)
-                await until(lambda: books["127.0.0.2"].open_works == 0)
-                await until(lambda: books["127.0.0.2"].engine("e2").pace == 3.0)
+                await until(lambda: books["127.0.0.2"].work_count == 0)
+                await until(lambda: books["127.0.0.2"].engine("e2").slowdown == 3.0)
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
@@ -154,13 +154,13 @@
 
     def is_unreachable_after(self, *news: tuple[str, str]) -> bool:
         """Return whether a VM in a deems b unreachable after reports of these (host, domain)."""
-        domains = Domains()
+        domains = DomainMonitor()
 
         async def main():
-            mine = peers("10.0.0.1", Books(), domains)
+            mine = peers("10.0.0.1", WorkTable(), domains)
             for host, domain in news:
                 await mine._handle(WorkNews(host, "s", [], [], [], [], [], domain, ["b"], []))
-            return domains.is_cut("b", trio.current_time() * 1000)
+            return domains.is_cut_off("b", trio.current_time() * 1000)
 
         return trio.run(main)
 
--- a/tests/gateway/test_permits.py
+++ b/tests/gateway/test_permits.py
@@ -42,7 +42,7 @@
     def _start(self, host: str) -> Permits:
         peers = [EntryPeer(other, 1, self.domains[other]) for other in self.hosts if other != host]
         limits = RateLimits()
-        limits.name(RECORD.start, self.rate, 0.0)
+        limits.record(RECORD.start, self.rate, 0.0)
         return Permits(
             EntryPeer(host, 1, self.domains[host]),
             lambda: peers,
@@ -100,7 +100,7 @@
         while True:
             await trio.sleep(self.rng.expovariate(self.demand * share))
             limits = self.permits[host]._limits
-            if host in self.frozen or limits.closed_until(RECORD.start) > _now_ms():
+            if host in self.frozen or limits.blocked_until(RECORD.start) > _now_ms():
                 continue
             limit = limits.find(RECORD.start)
             patience_ms = self.rng.choice((0.0, 150.0))
@@ -108,14 +108,14 @@
             if isinstance(found, Permit) and host not in self.frozen:
                 await trio.sleep(self.rng.uniform(0.0, 0.02))
                 self.sent += 1
-                self.account.answered(host, trio.current_time(), self.rate)
-                self.account.arrived(host, trio.current_time())
+                self.account.record_answer(host, trio.current_time(), self.rate)
+                self.account.record_request(host, trio.current_time())
 
     async def run(self, faults) -> None:
         """Let the VMs send for a while, each with an uneven share of the clients."""
         weights = [self.rng.uniform(0.05, 1.0) ** 3 for _ in self.hosts]
         for host in self.hosts:
-            self.account.answered(host, -1.0, self.rate)
+            self.account.record_answer(host, -1.0, self.rate)
         with trio.move_on_after(WARM_UP_SECONDS + SECONDS):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._tick_forever)
@@ -193,7 +193,7 @@
     @pytest.mark.parametrize("rate", [0.0, 0.5, 1.0, 10.0])
     def test_no_faults(self, vms, rate):
         world = simulate(vms, rate, no_faults)
-        assert not world.account.broken
+        assert not world.account.violations
         assert world.sent >= 0.9 * rate * SECONDS - 1
 
     @pytest.mark.parametrize("vms", [7, 24])
@@ -211,7 +211,7 @@
     def test_faults(self, faults, used, seed, rate, vms):
         """A limiter is frozen, partitioned or restarted; two VMs both granted the whole rate."""
         world = simulate(vms, rate, faults, seed)
-        assert not world.account.broken, world.account.broken[:3]
+        assert not world.account.violations, world.account.violations[:3]
         assert world.sent >= used * rate * SECONDS - 2
 
     def test_one_vm_has_all_clients(self):
@@ -239,7 +239,7 @@
                     nursery.start_soon(world._tick_forever)
                     await trio.sleep(WARM_UP_SECONDS)
                     first = world.limiter()
-                    world.permits[first]._limits.name(RECORD.start, 1.0, _now_ms())
+                    world.permits[first]._limits.record(RECORD.start, 1.0, _now_ms())
                     other = next(host for host in world.hosts if host != first)
                     limits, granted = world.permits[other]._limits, 0
                     for _ in range(100):
@@ -262,7 +262,7 @@
             first = world.limiter()
             other = next(host for host in world.hosts if host != first)
             permits, limit = world.permits[other], RateLimits()
-            limit.name(RECORD.start, 50.0, 0.0)
+            limit.record(RECORD.start, 50.0, 0.0)
             seen = []
             decide = Simulation.queries(world, other).request_permit
 
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from siskinspoke.testing.networks import in_turn, site_nets
+from siskinspoke.testing.networks import net_cycle, site_nets
 from siskinspoke.testing.running_site import start_running_site
 
-_next_net = in_turn(site_nets)
+_next_net = net_cycle(site_nets)
 
 
 @pytest.fixture
--- a/tests/integration/test_callers.py
+++ b/tests/integration/test_callers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from siskinspoke.core.codes import ResultCode
-from siskinspoke.management.operators import Operator
+from siskinspoke.management.operators import OperatorClient
 from siskinspoke.testing.site import customer_key
 
 KEY = customer_key("municipio-1")
@@ -113,9 +113,9 @@
         document = dict(site.fleet.settings.configuration_document)
         document["limits"] = document["limits"] | {"max_body_bytes": 2_000}
         body = {"order": "o", "operator": "t", "expect": 0, "document": document}
-        with Operator(site.fleet.settings) as operator:
-            assert operator.ask_leader("/v1/configuration", body, 6).document["code"] == 0
-            assert not operator.wait_in_force(1, 3)
+        with OperatorClient(site.fleet.settings) as operator:
+            assert operator.post_to_leader("/v1/configuration", body, 6).document["code"] == 0
+            assert not operator.wait_until_applied(1, 3)
         assert client.post("/v1/completions", json=VALID_BODY)[1] == ResultCode.BODY_TOO_LARGE
 
 
--- a/tests/integration/test_chaos.py
+++ b/tests/integration/test_chaos.py
@@ -21,8 +21,8 @@
         site = make_site(services=2, entries_per_domain=2)
         chaos = Chaos(site, seed)
         chaos.run(RUN_SECONDS)
-        print(chaos.faults, len(chaos.completions), sum(c.whole for c in chaos.completions))
+        print(chaos.faults, len(chaos.completions), sum(c.is_complete for c in chaos.completions))
         assert chaos.violations(SERVICES) == []
-        assert sum(item.whole for item in chaos.completions) > len(chaos.completions) / 2
+        assert sum(item.is_complete for item in chaos.completions) > len(chaos.completions) / 2
         site.wait_memory_returned(*[name for name in site.specs if name.startswith("engine")])
         wait_until(lambda: site.fleet.leader() is not None, "a leader after the faults")
--- a/tests/integration/test_claims.py
+++ b/tests/integration/test_claims.py
@@ -67,7 +67,7 @@
 
         during, after = trio.run(scenario)
         assert during.code == ResultCode.IN_PROGRESS
-        assert after.whole
+        assert after.is_complete
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
     def test_entry_killed_after_dispatch(self, make_site):
@@ -112,16 +112,16 @@
                     lambda: "claim.granted" in entry_counters(site, "entry-anexo-1"),
                     "claim",
                 )
-                site.fleet.freeze("entry-anexo-1")
+                site.fleet.suspend("entry-anexo-1")
                 outcome = await resend_until_final(site, key, "entry-sala-b-1")
                 for domain in (0, 1):
                     site.proxy.set_rule(2, domain, Rule(), SERVER_PORT)
-                site.fleet.thaw("entry-anexo-1")
+                site.fleet.resume("entry-anexo-1")
             return outcome, await send_call(site, key, "entry-anexo-1")
 
         outcome, late = trio.run(scenario)
-        assert outcome.whole
-        assert late.whole
+        assert outcome.is_complete
+        assert late.is_complete
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
     def test_service_restarted_on_same_address(self, make_site):
@@ -168,7 +168,7 @@
         """
         site = make_site()
         key = idempotency_key("five")
-        assert trio.run(send_call, site, key).whole
+        assert trio.run(send_call, site, key).is_complete
         leader = site.fleet.leader()
         site.fleet.kill(leader)
         shutil.rmtree(site.fleet.settings.control_vm(leader).data_folder)
@@ -181,7 +181,7 @@
         site.fleet.kill(new_leader)
         site.fleet.wait_leader()
         outcome = trio.run(resend_until_final, site, key)
-        assert outcome.whole
+        assert outcome.is_complete
         assert site.runs_by_subject(SERVICE)[subject(key)] == 1
 
     def test_no_dispatch_without_majority(self, make_site):
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -9,7 +9,7 @@
 import pytest
 
 from siskinspoke.core.codes import ResultCode
-from siskinspoke.management.operators import Operator
+from siskinspoke.management.operators import OperatorClient
 from siskinspoke.testing.fleet import wait_until
 from siskinspoke.testing.proxy import Rule
 from siskinspoke.testing.site import customer
@@ -23,8 +23,8 @@
     document = dict(site.fleet.settings.configuration_document)
     document["customers"] = document["customers"] | {customer_name: customer(customer_name)}
     body = {"order": order, "operator": "test", "expect": expect, "document": document}
-    with Operator(site.fleet.settings) as operator:
-        reply = operator.ask_leader(path, body, ACCEPT_SECONDS)
+    with OperatorClient(site.fleet.settings) as operator:
+        reply = operator.post_to_leader(path, body, ACCEPT_SECONDS)
     return reply
 
 
@@ -35,8 +35,8 @@
 
 def entries_without_version(site, version, seconds=IN_FORCE_SECONDS):
     """Return the entry VMs where a version is not active within the given time."""
-    with Operator(site.fleet.settings) as operator:
-        return operator.wait_in_force(version, seconds)
+    with OperatorClient(site.fleet.settings) as operator:
+        return operator.wait_until_applied(version, seconds)
 
 
 def active_version(site, entry):
@@ -99,8 +99,8 @@
     def test_invalid_change_is_rejected(self, make_site):
         site = make_site(services=0)
         body = {"order": "o", "operator": "t", "expect": 0, "document": {"customers": 7}}
-        with Operator(site.fleet.settings) as operator:
-            reply = operator.ask_leader("/v1/configuration", body, ACCEPT_SECONDS)
+        with OperatorClient(site.fleet.settings) as operator:
+            reply = operator.post_to_leader("/v1/configuration", body, ACCEPT_SECONDS)
         assert reply.document["error"]["code"] == ResultCode.INVALID_SETTINGS
 
 
@@ -263,15 +263,15 @@
         """A frozen leader resumes after its successor was elected, and must refuse a change."""
         site = make_site(services=0)
         leader = site.fleet.leader()
-        site.fleet.freeze(leader)
+        site.fleet.suspend(leader)
         successor = site.fleet.wait_leader(other_than=leader)
         assert submit_change(site, "o1", 0, "c-1").document == accepted_reply(1)
-        site.fleet.thaw(leader)
+        site.fleet.resume(leader)
         control = site.fleet.settings.control_vm(leader)
         document = dict(site.fleet.settings.configuration_document)
         body = {"order": "o2", "operator": "t", "expect": 0, "document": document}
-        with Operator(site.fleet.settings) as operator:
-            reply = operator.exchange("POST", control.host, control.port, "/v1/configuration", body)
+        with OperatorClient(site.fleet.settings) as operator:
+            reply = operator.request("POST", control.host, control.port, "/v1/configuration", body)
         assert reply.status != 200 or reply.document["code"] != 0
         assert site.fleet.leader() == successor
         assert not entries_without_version(site, 1)
--- a/tests/integration/test_group.py
+++ b/tests/integration/test_group.py
@@ -10,10 +10,10 @@
 from siskinspoke.state.server_file import SERVERS_FILE
 from siskinspoke.testing.fleet import wait_until
 from siskinspoke.testing.group_site import GroupSite
-from siskinspoke.testing.networks import group_nets, in_turn
+from siskinspoke.testing.networks import group_nets, net_cycle
 
 PUBLIC_HOST = "shop.example"
-_next_net = in_turn(group_nets)
+_next_net = net_cycle(group_nets)
 
 
 @pytest.fixture
@@ -57,9 +57,11 @@
 
     def test_any_registry_accepts_and_answers(self, site):
         for version, name in enumerate(("c1", "c2", "c3"), start=1):
-            site.until(name, "POST", "/config/replace", configuration(version, f"/v{version}/"))
+            site.call_until_success(
+                name, "POST", "/config/replace", configuration(version, f"/v{version}/")
+            )
         for name in ("c1", "c2", "c3"):
-            assert site.until(name, "GET", "/config/get")["version"] == 3
+            assert site.call_until_success(name, "GET", "/config/get")["version"] == 3
         wait_until(
             lambda: site.status("g1", "/v2/x", PUBLIC_HOST) == 404
             and site.status("g1", "/v3/x", PUBLIC_HOST) == 503,
@@ -67,36 +69,36 @@
         )
 
     def test_invalid_configuration_is_rejected(self, site):
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         bad = configuration(2, "/a/", "/a/")
         assert site.call("c1", "POST", "/config/replace", bad)[0] == 400
-        assert site.until("c2", "GET", "/config/get")["version"] == 1
+        assert site.call_until_success("c2", "GET", "/config/get")["version"] == 1
 
     def test_same_version_with_other_content_is_ignored(self, site):
-        site.until("c1", "POST", "/config/replace", configuration(5, "/a/"))
-        site.until("c2", "POST", "/config/replace", configuration(5, "/b/"))
-        read = site.until("c3", "GET", "/config/get")
+        site.call_until_success("c1", "POST", "/config/replace", configuration(5, "/a/"))
+        site.call_until_success("c2", "POST", "/config/replace", configuration(5, "/b/"))
+        read = site.call_until_success("c3", "GET", "/config/get")
         assert read["routes"][0]["path_prefix"] == "/a/"
 
     def test_configuration_survives_kill_of_all(self, site):
         """All registries are killed right after a configuration was accepted."""
-        site.until("c1", "POST", "/config/replace", configuration(7, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(7, "/a/"))
         for name in ("c1", "c2", "c3"):
             site.kill(name)
         for name in ("c1", "c2", "c3"):
             site.start(name)
-        assert site.until("c2", "GET", "/config/get")["version"] == 7
+        assert site.call_until_success("c2", "GET", "/config/get")["version"] == 7
 
     def test_frozen_registry_returns_no_stale_configuration(self, site):
         """A registry that was frozen while a change was accepted serves no stale read.
 
         Guards against answering an operator from the older local state right after it resumes.
         """
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         for frozen, other in (("c1", "c2"), ("c2", "c3"), ("c3", "c1")):
-            version = site.until(other, "GET", "/config/get")["version"] + 1
+            version = site.call_until_success(other, "GET", "/config/get")["version"] + 1
             site.signal(frozen, signal.SIGSTOP)
-            site.until(other, "POST", "/config/replace", configuration(version, "/a/"))
+            site.call_until_success(other, "POST", "/config/replace", configuration(version, "/a/"))
             site.signal(frozen, signal.SIGCONT)
             for _ in range(5):
                 status, read = site.call(frozen, "GET", "/config/get")
@@ -108,38 +110,40 @@
         It must catch up from a snapshot, and know the newest version when another registry is
         lost right after its return.
         """
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         site.kill("c3")
         last_version = 1 + 2 * SNAPSHOT_ENTRIES + 2
         for version in range(2, last_version + 1):
-            site.until("c1", "POST", "/config/replace", configuration(version, "/a/"))
+            site.call_until_success("c1", "POST", "/config/replace", configuration(version, "/a/"))
         site.start("c3")
         wait_until(lambda: site.call("c3", "GET", "/config/get")[0] == 200, "reads from c3")
         site.kill("c2")
-        assert site.until("c3", "GET", "/config/get")["version"] == last_version
-        site.until("c3", "POST", "/config/replace", configuration(last_version + 1, "/b/"))
+        assert site.call_until_success("c3", "GET", "/config/get")["version"] == last_version
+        site.call_until_success(
+            "c3", "POST", "/config/replace", configuration(last_version + 1, "/b/")
+        )
         site.kill("c1")
         site.start("c2")
-        assert site.until("c2", "GET", "/config/get")["version"] == last_version + 1
+        assert site.call_until_success("c2", "GET", "/config/get")["version"] == last_version + 1
 
     def test_registry_without_majority_refuses(self, site):
         """Without a majority, the only running registry cannot know the newest version."""
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         site.kill("c2")
         site.kill("c3")
         assert site.call("c1", "GET", "/config/get")[0] in (0, 503)
         assert site.call("c1", "POST", "/config/replace", configuration(2, "/b/"))[0] in (0, 503)
         site.start("c2")
-        assert site.until("c1", "GET", "/config/get")["version"] in (1, 2)
+        assert site.call_until_success("c1", "GET", "/config/get")["version"] in (1, 2)
 
 
 class TestMembers:
     """Changes of the registries that form the group."""
 
     def test_registry_recovers_from_disk_loss(self, site):
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         site.kill("c2")
-        site.empty_disk("c2")
+        site.wipe_disk("c2")
         site.start("c2")
         wait_until(
             lambda: site.call("c2", "GET", "/config/get")[0] == 200,
@@ -147,12 +151,12 @@
         )
         time.sleep(1.0)
         site.kill("c3")
-        site.until("c1", "POST", "/config/replace", configuration(2, "/b/"))
-        assert site.until("c2", "GET", "/config/get")["version"] == 2
+        site.call_until_success("c1", "POST", "/config/replace", configuration(2, "/b/"))
+        assert site.call_until_success("c2", "GET", "/config/get")["version"] == 2
 
     def test_registry_is_replaced_permanently(self, site):
         """A new, empty registry replaces a lost one at another address; then another is lost."""
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         site.kill("c3")
         site.start("c4")
         wait_until(
@@ -160,20 +164,20 @@
         )
         time.sleep(3.5)
         site.kill("c1")
-        site.until("c4", "POST", "/config/replace", configuration(2, "/b/"))
-        assert site.until("c2", "GET", "/config/get")["version"] == 2
+        site.call_until_success("c4", "POST", "/config/replace", configuration(2, "/b/"))
+        assert site.call_until_success("c2", "GET", "/config/get")["version"] == 2
         site.wait_status("g1", "/a/x", PUBLIC_HOST, 404)
         assert site.status("g1", "/b/x", PUBLIC_HOST) == 503
 
     def test_five_registries(self, site):
         for name in ("c4", "c5"):
             site.start(name, found=True)
-        site.until("c5", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c5", "POST", "/config/replace", configuration(1, "/a/"))
         time.sleep(2.0)
         for name in ("c1", "c2"):
             site.kill(name)
-        site.until("c4", "POST", "/config/replace", configuration(2, "/b/"))
-        assert site.until("c5", "GET", "/config/get")["version"] == 2
+        site.call_until_success("c4", "POST", "/config/replace", configuration(2, "/b/"))
+        assert site.call_until_success("c5", "GET", "/config/get")["version"] == 2
 
 
 class TestSignals:
@@ -181,12 +185,12 @@
 
     def test_sighup_ends_no_process(self, site):
         """SIGHUP, sent when settings change, must not terminate a process."""
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         for name in ("c1", "g1"):
             site.signal(name, signal.SIGHUP)
-        site.until("c1", "GET", "/config/get")
-        assert site.alive("c1")
-        assert site.alive("g1")
+        site.call_until_success("c1", "GET", "/config/get")
+        assert site.is_running("c1")
+        assert site.is_running("g1")
 
 
 class TestLeaves:
@@ -197,7 +201,7 @@
 
         If it accepted the notice, the server would stop while gateways still send to it.
         """
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         for name in ("c2", "c3", "g1"):
             site.kill(name)
         path = "/instances/i-1/heartbeat"
@@ -209,15 +213,15 @@
 
     def test_leave_is_final(self, site):
         """A delayed heartbeat from before the leave, at another registry, does not undo it."""
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         site.wait_status("g1", "/none/x", PUBLIC_HOST, 404)
         path = "/instances/i-1"
         log = site.folder / "g1.log"
-        site.until("c1", "POST", f"{path}/heartbeat", heartbeat(seq=1))
+        site.call_until_success("c1", "POST", f"{path}/heartbeat", heartbeat(seq=1))
         wait_until(lambda: '"event":"server.joined"' in log.read_text(), "the server joined at g1")
-        site.until("c2", "POST", f"{path}/heartbeat", heartbeat("draining", 3))
-        site.until("c3", "POST", f"{path}/heartbeat", heartbeat(seq=2))
-        site.until("c3", "POST", f"{path}/deregister")
+        site.call_until_success("c2", "POST", f"{path}/heartbeat", heartbeat("draining", 3))
+        site.call_until_success("c3", "POST", f"{path}/heartbeat", heartbeat(seq=2))
+        site.call_until_success("c3", "POST", f"{path}/deregister")
         logged = log.read_text()
         assert '"event":"server.left","server":"i-1"' in logged
         joins = logged.count('"event":"server.joined","server":"i-1"')
@@ -233,9 +237,9 @@
         Without a majority it accepts no change and answers no operator, but entry VMs that get
         the configuration from it need not refuse all clients.
         """
-        site.until("c1", "POST", "/config/replace", configuration(3, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(3, "/a/"))
         for name in ("c2", "c3"):
-            site.until(name, "GET", "/config/get")
+            site.call_until_success(name, "GET", "/config/get")
         time.sleep(0.5)
         for name in ("c1", "c2", "c3", "g1"):
             site.kill(name)
@@ -254,13 +258,13 @@
 
     def test_group_elects_a_leader_on_slow_disks(self, site):
         """Guards against elections that never complete when each sync takes 0.7 s longer."""
-        site.until("c1", "POST", "/config/replace", configuration(1, "/a/"))
+        site.call_until_success("c1", "POST", "/config/replace", configuration(1, "/a/"))
         for name in ("c1", "c2", "c3"):
             site.kill(name)
         for name in ("c1", "c2", "c3"):
             site.start(name, mutant="slow_syncs")
-        assert site.until("c2", "GET", "/config/get")["version"] == 1
-        site.until("c3", "POST", "/config/replace", configuration(2, "/b/"))
+        assert site.call_until_success("c2", "GET", "/config/get")["version"] == 1
+        site.call_until_success("c3", "POST", "/config/replace", configuration(2, "/b/"))
 
     def test_servers_are_restored_before_first_heartbeat(self, site):
         """After a crash of all processes, the registry restores its servers from disk.
@@ -268,8 +272,8 @@
         The servers run on but send a heartbeat only once a second.  Without the restored list,
         the first clients would be refused, or all sent to the server heard first.
         """
-        site.until("c1", "POST", "/config/replace", configuration(3, "/a/"))
-        site.until("c1", "POST", "/instances/i-1/heartbeat", heartbeat())
+        site.call_until_success("c1", "POST", "/config/replace", configuration(3, "/a/"))
+        site.call_until_success("c1", "POST", "/instances/i-1/heartbeat", heartbeat())
         wait_until(lambda: (site.folder / "data-c1" / SERVERS_FILE).exists(), "the list of servers")
         for name in ("c1", "c2", "c3", "g1"):
             site.kill(name)
--- a/tests/integration/test_hostile.py
+++ b/tests/integration/test_hostile.py
@@ -78,7 +78,7 @@
         server.shutdown()
         sender.close()
         assert InvalidAnswerHandler.request_count > 0
-        assert all(item.whole for item in outcomes)
+        assert all(item.is_complete for item in outcomes)
         counters = site.fleet.status("entry-sala-a-1")["counters"]
         assert counters["datagram.refused.seal"] >= 4
         assert counters["backend.nonsense"] >= 1
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -62,7 +62,7 @@
         for source in range(3):
             for target in range(3):
                 if source != target:
-                    rule = Rule(double=0.5, jitter_seconds=1.0)
+                    rule = Rule(duplicate_probability=0.5, jitter_seconds=1.0)
                     site.proxy.set_rule(source, target, rule)
         trio.run(send_steadily, site, 2, lambda: site.ask_server(ENGINE, "/v1/leave", {}))
         time.sleep(LEASE_EXPIRY_SECONDS)
@@ -100,7 +100,7 @@
         """An engine is killed under load, and all requests still succeed."""
         site = make_site()
         outcomes = trio.run(send_steadily, site, 4, lambda: site.fleet.kill(ENGINE))
-        assert [item for item in outcomes if not item.whole] == []
+        assert [item for item in outcomes if not item.is_complete] == []
 
     def test_restarted_engine_serves_again(self, make_site):
         """An engine that restarts on its old address gets work as a new incarnation."""
@@ -111,7 +111,7 @@
             lambda: len(site.fleet.status("entry-anexo-1")["servers"]) == 4, "the restarted engine"
         )
         outcomes = trio.run(send_steadily, site, 3, lambda: None)
-        assert all(item.whole for item in outcomes)
+        assert all(item.is_complete for item in outcomes)
         assert started_requests(site, ENGINE) > 0
 
 
@@ -138,7 +138,7 @@
             return outcomes[0], refused, process
 
         outcome, refused, process = trio.run(scenario)
-        assert outcome.whole
+        assert outcome.is_complete
         assert (refused.code, refused.run) == (ResultCode.DRAINING, "not_run")
         assert refused.status == 503
         assert process.wait(10) == 0
@@ -193,8 +193,8 @@
             return outcomes, calls
 
         outcomes, calls = trio.run(scenario)
-        assert [item for item in outcomes if not item.whole] == []
-        assert [item for item in calls if not item.whole] == []
+        assert [item for item in outcomes if not item.is_complete] == []
+        assert [item for item in calls if not item.is_complete] == []
         runs = site.runs_by_subject("despacho-sala-a-1")
         assert set(runs.values()) == {1}
 
@@ -224,7 +224,7 @@
         connected = trio.run(
             send_steadily, site, 2, lambda: None, "entry-sala-a-1", "entry-sala-b-1"
         )
-        assert all(item.whole for item in isolated + connected)
+        assert all(item.is_complete for item in isolated + connected)
         key = idempotency_key("cut")
 
         async def charge(entry):
@@ -233,13 +233,13 @@
 
         refused = trio.run(charge, "entry-anexo-1")
         assert refused.code == ResultCode.CLAIMS_UNAVAILABLE
-        assert trio.run(charge, "entry-sala-a-1").whole
+        assert trio.run(charge, "entry-sala-a-1").is_complete
         site.proxy.isolate(2, 3, cut=False)
         wait_until(
             lambda: len(site.fleet.status("entry-anexo-1")["servers"]) == 6,
             "all servers after the partition healed",
         )
-        assert trio.run(charge, "entry-anexo-1").whole
+        assert trio.run(charge, "entry-anexo-1").is_complete
         services = [name for name in site.specs if name.startswith("despacho")]
         assert sum(site.runs_by_subject(*services).values()) == 1
 
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -2,7 +2,7 @@
 
 import httpx
 
-from siskinspoke.management.operators import Operator
+from siskinspoke.management.operators import OperatorClient
 from siskinspoke.testing.fleet import wait_until
 from siskinspoke.testing.site import DOMAINS
 
@@ -20,8 +20,8 @@
         "host": spec.host, "port": spec.port, "fencing": True, "action": action,
         "argument": argument,
     }  # fmt: skip
-    with Operator(site.fleet.settings) as operator:
-        return operator.ask_leader("/v1/orders", body, ACCEPT_SECONDS).document
+    with OperatorClient(site.fleet.settings) as operator:
+        return operator.post_to_leader("/v1/orders", body, ACCEPT_SECONDS).document
 
 
 def order_state(site, name):
--- a/tests/integration/test_standing_still.py
+++ b/tests/integration/test_standing_still.py
@@ -45,10 +45,10 @@
                     outcomes.append(await complete(site, name, 60, TIMEOUT_MS))
 
                 if frozen:
-                    site.fleet.freeze(name)
+                    site.fleet.suspend(name)
                 nursery.start_soon(send_one)
                 await trio.sleep(frozen)
-                site.fleet.thaw(name)
+                site.fleet.resume(name)
 
         trio.run(scenario)
         assert outcomes[0].status
@@ -67,7 +67,7 @@
         site = make_site()
         entries = [entry.name for entry in site.fleet.settings.entries]
         outcomes = trio.run(send_during_freeze, site, [*entries, *site.specs], entries)
-        assert [item for item in outcomes if not item.whole] == []
+        assert [item for item in outcomes if not item.is_complete] == []
 
 
 async def send_during_freeze(site, frozen, entries):
@@ -78,17 +78,17 @@
         outcomes.append(await complete(site, name, 8, 20_000))
 
     for name in frozen:
-        site.fleet.freeze(name)
+        site.fleet.suspend(name)
     await trio.sleep(FREEZE_SECONDS - 0.2)
     async with trio.open_nursery() as nursery:
         for name in entries:
             nursery.start_soon(send_one, name)
         await trio.sleep(0.2)
         for name in entries:
-            site.fleet.thaw(name)
+            site.fleet.resume(name)
         await trio.sleep(0.3)
         for name in frozen:
-            site.fleet.thaw(name)
+            site.fleet.resume(name)
     return outcomes
 
 
@@ -124,4 +124,4 @@
         time.sleep(DATAGRAM_LOSS_SECONDS)
         outcomes = [trio.run(complete, site, entry.name, 8, 20_000) for entry in entries]
         assert pids == {name: site.fleet.pid(name) for name in site.specs}
-        assert [item for item in outcomes if not item.whole] == []
+        assert [item for item in outcomes if not item.is_complete] == []
--- a/tests/integration/test_streams.py
+++ b/tests/integration/test_streams.py
@@ -73,8 +73,8 @@
                 entry=first,
             )
         )
-        assert outcome.whole
-        assert outcome.resumed >= 1
+        assert outcome.is_complete
+        assert outcome.resume_count >= 1
         site.wait_memory_returned(*ENGINES)
 
     def test_entry_frozen_mid_stream(self, make_site):
@@ -87,24 +87,24 @@
         name = "entry-sala-a-1"
 
         def freeze_and_thaw(_) -> None:
-            site.fleet.freeze(name)
+            site.fleet.suspend(name)
             time.sleep(FREEZE_SECONDS)
-            site.fleet.thaw(name)
+            site.fleet.resume(name)
 
         outcome = trio.run(
             lambda: complete_during(
                 site, freeze_and_thaw, "entry-sala-b-1", entry=site.entry_address(name)
             )
         )
-        assert outcome.whole, outcome
+        assert outcome.is_complete, outcome
         site.wait_memory_returned(*ENGINES)
 
     def test_engine_killed_mid_stream(self, make_site):
         """An engine is killed; the VM continues on another one, invisibly to the client."""
         site = make_site(engine_flags=SLOW_DECODE)
         outcome = trio.run(complete_during, site, site.fleet.kill)
-        assert outcome.whole
-        assert outcome.resumed == 0
+        assert outcome.is_complete
+        assert outcome.resume_count == 0
 
     def test_engine_frozen_mid_stream(self, make_site):
         """A frozen engine, whose connection stays open, is detected by its expired lease.
@@ -112,24 +112,24 @@
         The output that it sends after it resumes must not reach the client twice.
         """
         site = make_site(engine_flags=SLOW_DECODE)
-        outcome = trio.run(complete_during, site, site.fleet.freeze)
-        assert outcome.whole
+        outcome = trio.run(complete_during, site, site.fleet.suspend)
+        assert outcome.is_complete
         assert outcome.total < 15
         for name in ENGINES:
-            site.fleet.thaw(name)
+            site.fleet.resume(name)
         site.wait_memory_returned(*ENGINES)
 
     def test_frozen_engine_is_waited_for_by_the_mutant(self, make_site):
         """Without the lease check, the request ends only at its deadline."""
         site = make_site(engine_flags=SLOW_DECODE, mutant="frozen_is_busy")
-        outcome = trio.run(lambda: complete_during(site, site.fleet.freeze, timeout_ms=9_000))
+        outcome = trio.run(lambda: complete_during(site, site.fleet.suspend, timeout_ms=9_000))
         assert outcome.code == ResultCode.DEADLINE_PASSED
 
     def test_connections_reset(self, make_site):
         """All connections between VMs and engines are reset, as by a switch restart."""
         site = make_site(engine_flags=SLOW_DECODE)
         outcome = trio.run(complete_during, site, lambda _: site.proxy.reset_all())
-        assert outcome.whole
+        assert outcome.is_complete
         site.wait_memory_returned(*ENGINES)
 
     def test_non_idempotent_request_resent_to_other_entry(self, make_site):
@@ -150,7 +150,7 @@
             return outcomes
 
         first, second = trio.run(scenario)
-        assert first.whole and second.whole
+        assert first.is_complete and second.is_complete
         executions = [site.server_state(name)["began"].get(first.request_id, 0) for name in ENGINES]
         assert sum(executions) == 1
 
@@ -174,7 +174,7 @@
 
         outcomes = trio.run(scenario)
         print(outcomes)
-        assert any(item.whole for item in outcomes)
+        assert any(item.is_complete for item in outcomes)
         executions = [sum(site.server_state(name)["began"].values()) for name in ENGINES]
         assert sum(executions) == 1
         site.wait_memory_returned(*ENGINES)
@@ -186,7 +186,7 @@
         """
         site = make_site()
         for name in ENGINES:
-            site.fleet.freeze(name)
+            site.fleet.suspend(name)
         outcome = trio.run(lambda: complete(site, timeout_ms=1_500, output=4))
         assert (outcome.code, outcome.run) == (ResultCode.DEADLINE_PASSED, "unknown")
 
@@ -296,13 +296,13 @@
                     nursery.start_soon(send_one)
                 await wait_for_busy_engine(site)
                 for name in ENGINES:
-                    site.fleet.freeze(name)
+                    site.fleet.suspend(name)
             return outcomes
 
         outcomes = trio.run(scenario)
         assert len(outcomes) == 10
         assert [item.total for item in outcomes if item.total >= 4.0] == []
-        assert not any(item.whole for item in outcomes)
+        assert not any(item.is_complete for item in outcomes)
 
     def test_refusal_comes_at_once_with_a_time_to_come_back(self, make_site):
         """A prompt that cannot be prefilled in time is refused at once, not at its deadline."""
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -12,7 +12,7 @@
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.gateway.daemon import GatewayDaemon
 from siskinspoke.platform.calls import PlatformWire
-from siskinspoke.testing.networks import group_nets, in_turn, networks
+from siskinspoke.testing.networks import group_nets, net_cycle, networks
 from siskinspoke.transport.datagrams import open_datagram_port
 from tests.feeds.test_follower import Quiet
 from tests.platform.site import Site, document, serve_clients, until, vm_settings
@@ -20,7 +20,7 @@
 
 PORTS = (7_340, 7_355)
 FEED_PORT = PORTS[0] + 1
-_next_net = in_turn(group_nets)
+_next_net = net_cycle(group_nets)
 
 
 class Fleet:
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -138,7 +138,7 @@
             return await read_answer(stream)
 
     @asynccontextmanager
-    async def asking(self, path: str, **headers):
+    async def request_in_background(self, path: str, **headers):
         """Send a request in the background; yield the list to which its response is added."""
         answers: list[Answer] = []
 
@@ -195,10 +195,10 @@
         failure_domain="a",
         seeds=tuple(Address(seed, 1) for seed in seeds),
         internal_ports=internal_ports,
-        found=True,
-        public=None,
-        ready=None,
-        operators=None,
+        is_first_start=True,
+        public_address=None,
+        readiness_address=None,
+        operator_address=None,
         data_folder="",
         shutdown_seconds=8,
         announce_every_ms=1_200,
@@ -211,7 +211,7 @@
 async def serve_clients(daemon: GatewayDaemon, log: DecisionLog, nursery: trio.Nursery) -> Site:
     """Serve clients on a free port of a gateway's host while the nursery is open."""
     host = daemon.gateway.settings.host
-    daemon.gateway.chores = nursery
+    daemon.gateway.nursery = nursery
     listeners = await trio.open_tcp_listeners(0, host=host)
     port = listeners[0].socket.getsockname()[1]
     server = ClientServer(daemon.gateway)
@@ -255,6 +255,6 @@
     """Start and announce an engine that was unknown to the gateway."""
     server = StandinServer(name)
     server.script.append(behaviour)
-    await site.gateway.chores.start(server.serve)
+    await site.gateway.nursery.start(server.serve)
     site.announce(server, "engines")
     return server
--- a/tests/platform/standin_server.py
+++ b/tests/platform/standin_server.py
@@ -137,7 +137,7 @@
                     await trio.serve_listeners(self._serve_one, listeners)
                 await trio.sleep(self.restart_after)
                 self.starts += 1
-                self.account.restarted()
+                self.account.record_restart()
 
     @property
     def crash_count(self) -> int:
@@ -172,7 +172,7 @@
                 ran = not isinstance(behaviour, Refuse)
                 self.seen.append(ReceivedRequest(lines[0], body, headers, number, ran))
                 if "Request-Id" in headers:
-                    self.account.arrived(vm, trio.current_time())
+                    self.account.record_request(vm, trio.current_time())
                 if body in self.crashing_bodies:
                     self._nursery.start_soon(self._crash_soon)
                 if not await self._answer(stream, vm, headers, behaviour):
@@ -195,7 +195,7 @@
         """
         if effective:
             now = trio.current_time()
-            self.account.answered(vm, now, self.rate_limit, back_off, self.leaving)
+            self.account.record_answer(vm, now, self.rate_limit, back_off, self.leaving)
         lines = []
         if self.rate_limit is not None:
             lines.append(b"Server-Limit: %g" % self.rate_limit)
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from siskinspoke.coordination.directory import UNDATED
+from siskinspoke.coordination.directory import UNKNOWN_INCARNATION
 from siskinspoke.platform.control_app import announcement_from, deregistration_from
 from siskinspoke.platform.orders import decode_report
 
@@ -42,7 +42,7 @@
         )
 
     def test_start_left_out(self):
-        assert announcement_from("i-1", heartbeat(born=None)).ok.incarnation == UNDATED
+        assert announcement_from("i-1", heartbeat(born=None)).ok.incarnation == UNKNOWN_INCARNATION
 
     def test_leaving(self):
         assert announcement_from("i-1", heartbeat(state="draining")).ok.leaving
--- a/tests/platform/test_back_off.py
+++ b/tests/platform/test_back_off.py
@@ -5,7 +5,7 @@
 
 from siskinspoke.gateway import reports
 from siskinspoke.gateway.context import now_ms
-from siskinspoke.gateway.sending import BACK_OFF, held
+from siskinspoke.gateway.sending import BACK_OFF, find_hold
 from tests.platform.site import Site, gateway_site, servers
 from tests.platform.standin_server import Events, Refuse, StandinServer, Whole
 from tests.platform.test_rate_limits import retry_after
@@ -15,7 +15,9 @@
 BACK_OFF_REFUSAL = Refuse(back_off=BACK_OFF_SECONDS)
 
 
-async def press(site: Site, path: str, seconds: float = BACK_OFF_SECONDS + 0.5, **headers) -> list:
+async def send_requests(
+    site: Site, path: str, seconds: float = BACK_OFF_SECONDS + 0.5, **headers
+) -> list:
     """Send twenty requests a second; return the responses."""
     answers = []
 
@@ -29,7 +31,7 @@
     return answers
 
 
-def arrivals(server: StandinServer) -> int:
+def client_request_count(server: StandinServer) -> int:
     """Return how many client requests a server received."""
     return sum("Request-Id" in seen.headers for seen in server.seen)
 
@@ -51,7 +53,7 @@
             async with gateway_site(tmp_path) as site, servers(site, service, [BACK_OFF_REFUSAL]):
                 assert (await site.ask(path, **more)).status == 503
                 async with servers(site, service, [healthy], [healthy], first=1):
-                    answers = await press(site, path, **more)
+                    answers = await send_requests(site, path, **more)
                 assert all(answer.status == 200 for answer in answers)
 
         trio.run(run)
@@ -74,7 +76,7 @@
                 answer = await site.ask(path, **more)
                 assert answer.status == 503
                 assert 0.5 * BACK_OFF_SECONDS <= retry_after(answer) <= BACK_OFF_SECONDS + 1
-                assert sum(arrivals(server) for server in backed_off) == 3
+                assert sum(client_request_count(server) for server in backed_off) == 3
                 await trio.sleep(retry_after(answer))
                 assert (await site.ask(path, **more)).status == 200
 
@@ -90,9 +92,9 @@
             ):
                 record = site.gateway.directory.latest(one.name)
                 await reports._poll(site.gateway, record)
-                assert held(site.gateway, record, now_ms()).why == BACK_OFF
-                answers = await press(site, "/stream/x", 1.0, **PROMPT)
+                assert find_hold(site.gateway, record, now_ms()).reason == BACK_OFF
+                answers = await send_requests(site, "/stream/x", 1.0, **PROMPT)
                 assert all(answer.status == 200 for answer in answers)
-                assert arrivals(one) == 0
+                assert client_request_count(one) == 0
 
         trio.run(run)
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -268,7 +268,7 @@
                 gateway_site(tmp_path, timeout_ms=10_000) as site,
                 crashing_servers(site, "engines", 5, script, renamed=True) as running,
             ):
-                async with site.asking(
+                async with site.request_in_background(
                     "/stream/x", body=HARMLESS_BODY, Deadline_Ms="9000", **PROMPT
                 ) as got:
                     for _ in range(3):
--- a/tests/platform/test_draining.py
+++ b/tests/platform/test_draining.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from siskinspoke.gateway.context import PLAIN_MS, STREAMS_MS, now_ms
+from siskinspoke.gateway.context import ACCEPT_PLAIN_MS, ACCEPT_STREAMS_MS, now_ms
 from tests.platform.site import gateway_site, read_answer, request_bytes, servers
 from tests.platform.standin_server import Events, Whole
 
@@ -15,7 +15,7 @@
     def test_early_requests_are_served(self, tmp_path):
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]):
-                site.gateway.draining_since = now_ms()
+                site.gateway.draining_since_ms = now_ms()
                 answer = await site.ask("/once/x")
                 assert answer.status == 200
                 assert b"Connection: close" in answer.raw
@@ -34,7 +34,7 @@
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", [Events()]) as (one,),
             ):
-                site.gateway.draining_since = now_ms() - STREAMS_MS - 1
+                site.gateway.draining_since_ms = now_ms() - ACCEPT_STREAMS_MS - 1
                 answer = await site.ask("/stream/x", **PROMPT)
                 assert answer.status == 503
                 assert b"Connection: close" in answer.raw
@@ -45,9 +45,9 @@
     def test_plain_requests_are_accepted_for_longer(self, tmp_path):
         async def run():
             async with gateway_site(tmp_path) as site, servers(site, "plain", [Whole()]):
-                site.gateway.draining_since = now_ms() - STREAMS_MS - 1
+                site.gateway.draining_since_ms = now_ms() - ACCEPT_STREAMS_MS - 1
                 assert (await site.ask("/once/x")).status == 200
-                site.gateway.draining_since = now_ms() - PLAIN_MS - 1
+                site.gateway.draining_since_ms = now_ms() - ACCEPT_PLAIN_MS - 1
                 assert (await site.ask("/once/x")).status == 503
 
         trio.run(run)
@@ -59,7 +59,7 @@
                 await stream.send_all(request_bytes("/again/x"))
                 assert (await read_answer(stream)).status == 200
                 await trio.sleep(0.05)
-                site.gateway.stop_waiting()
+                site.gateway.close_idle_connections()
                 with trio.fail_after(1):
                     assert await stream.receive_some() == b""
 
--- a/tests/platform/test_false_crashes.py
+++ b/tests/platform/test_false_crashes.py
@@ -51,11 +51,11 @@
             ):
                 for server in running:
                     server.script = script
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: any(server.seen for server in running))
                     firewall.refuses = None
                     await until(lambda: site.gateway.counters.totals.get("crash.doubted"))
-                    assert site.gateway.domains.cut_now(reaching.now_ms())
+                    assert site.gateway.domains.cut_off(reaching.now_ms())
                     await trio.sleep(PARTITION_SECONDS)
                     assert crashed_servers(site) == []
                     firewall.refuses = set()
@@ -74,7 +74,7 @@
             async with (
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", script, script, script) as running,
-                site.asking("/stream/x", **PROMPT),
+                site.request_in_background("/stream/x", **PROMPT),
             ):
                 await until(lambda: any(server.seen for server in running))
                 dead = next(server for server in running if server.seen)
@@ -99,7 +99,7 @@
             async with (
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", script, script) as running,
-                site.asking("/stream/x", **PROMPT),
+                site.request_in_background("/stream/x", **PROMPT),
             ):
                 await until(lambda: any(server.seen for server in running))
                 dead = next(server for server in running if server.seen)
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -5,7 +5,7 @@
 
 from tests.platform.site import gateway_site, servers
 from tests.platform.standin_server import Events, Whole
-from tests.platform.test_back_off import arrivals, press
+from tests.platform.test_back_off import client_request_count, send_requests
 from tests.platform.test_streams import PROMPT
 
 
@@ -25,12 +25,12 @@
                 servers(site, service, [sound], [sound]) as (one, _),
             ):
                 one.leaving = True
-                while not arrivals(one):
+                while not client_request_count(one):
                     await site.ask(path, **more)
-                before = arrivals(one)
+                before = client_request_count(one)
                 site.announce(one, service, seq=9)
-                answers = await press(site, path, 2.6, **more)
+                answers = await send_requests(site, path, 2.6, **more)
                 assert all(answer.status == 200 for answer in answers)
-                assert arrivals(one) == before
+                assert client_request_count(one) == before
 
         trio.run(run)
--- a/tests/platform/test_lost_servers.py
+++ b/tests/platform/test_lost_servers.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway import reaching
 from siskinspoke.gateway.context import now_ms
 from tests.platform.site import gateway_site, servers, until
@@ -31,15 +31,15 @@
 
 def leave_one(site, two):
     """Make the next request go to the server other than ``two``."""
-    site.gateway.directory.retire(*site.gateway.directory.latest(two.name).start)
+    site.gateway.directory.mark_leaving(*site.gateway.directory.latest(two.name).start)
 
 
 async def ask_while(site, path, happen, **headers):
     """Send a request, run ``happen``, and return the answer and how long it took."""
     began = trio.current_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(reaching.look_forever, site.gateway)
-        async with site.asking(path, **headers) as answers:
+        nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+        async with site.request_in_background(path, **headers) as answers:
             await happen()
             await until(lambda: answers)
         took = trio.current_time() - began
@@ -114,16 +114,16 @@
             ):
                 standing = site.gateway.standing
                 leave_one(site, three)
-                standing.failed(one.name, Trouble.UNREACHABLE, now_ms())
+                standing.record_failure(one.name, FailureKind.UNREACHABLE, now_ms())
                 await site.ask("/stream/x", **PROMPT)
                 assert len(two.seen) == 1
-                standing.reached(one.name)
-                standing.failed(two.name, Trouble.UNREACHABLE, now_ms())
+                standing.record_connection(one.name)
+                standing.record_failure(two.name, FailureKind.UNREACHABLE, now_ms())
 
                 async def happen():
                     await until(lambda: one.seen)
                     network.dark |= {one.port, two.port}
-                    standing.reached(two.name)
+                    standing.record_connection(two.name)
                     await until(lambda: standing.is_unreachable(one.name))
                     site.announce(three, "engines", started=5)
 
@@ -243,7 +243,7 @@
                 servers(site, "engines", [Events()], [Events()]) as (one, two),
             ):
                 network.dark.add(one.port)
-                reaching.hear_lost(site.gateway, one.name)
+                reaching.handle_loss_report(site.gateway, one.name)
                 await until(lambda: site.gateway.standing.is_unreachable(one.name))
                 for _ in range(3):
                     assert (await site.ask("/stream/x", **PROMPT)).whole
@@ -261,9 +261,9 @@
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", [Events()]) as (one,),
             ):
-                reaching.hear_lost(site.gateway, one.name)
+                reaching.handle_loss_report(site.gateway, one.name)
                 await until(lambda: one.connections)
-                assert not site.gateway.standing.is_aside(one.name, now_ms())
+                assert not site.gateway.standing.is_ejected(one.name, now_ms())
 
         trio.run(run)
 
@@ -279,11 +279,11 @@
                 servers(site, "engines", [Events()]) as (one,),
             ):
                 network.dark.add(one.port)
-                reaching.hear_lost(site.gateway, one.name)
+                reaching.handle_loss_report(site.gateway, one.name)
                 await until(lambda: site.gateway.standing.is_unreachable(one.name))
                 network.dark.clear()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(reaching.look_again_forever, site.gateway)
+                    nursery.start_soon(reaching.probe_unreachable_forever, site.gateway)
                     await until(lambda: not site.gateway.standing.is_unreachable(one.name))
                     nursery.cancel_scope.cancel()
                 assert one.seen == []
@@ -305,12 +305,12 @@
             ):
                 record = site.gateway.directory.latest(one.name)
                 network.dark.add(one.port)
-                await reaching.look(site.gateway, record)
+                await reaching.probe(site.gateway, record)
                 with trio.move_on_after(0.02):
                     await reaching.connect_to(site.gateway, record)
                 network.dark.clear()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(reaching.look_again_forever, site.gateway)
+                    nursery.start_soon(reaching.probe_unreachable_forever, site.gateway)
                     await until(lambda: not site.gateway.standing.is_unreachable(one.name))
                     nursery.cancel_scope.cancel()
 
@@ -339,7 +339,7 @@
             ):
                 record = site.gateway.directory.latest(one.name)
                 for _ in range(20):
-                    site.gateway.connects.took(4.0)
+                    site.gateway.connect_timeout.record(4.0)
                 assert await reaching.open_connection(site.gateway, record) == "connection"
 
         trio.run(run)
--- a/tests/platform/test_moving.py
+++ b/tests/platform/test_moving.py
@@ -34,16 +34,16 @@
                 servers(site, "engines", [Events()], [Events()]) as both,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(reaching.look_forever, site.gateway)
+                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
                 for server in both:
                     server.script = script
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(
                         lambda: any(item.is_streaming for item in site.gateway.attempts._attempts)
                     )
                     first = next(server for server in both if server.seen)
                     began = trio.current_time()
-                    site.gateway.peers._hear_news(long_prompt_at(first.name))
+                    site.gateway.peers._handle_work(long_prompt_at(first.name))
                     await until(lambda: answers)
                     assert trio.current_time() - began < SOON_SECONDS
                 assert data_of(answers[0].body) == whole_stream(4)
@@ -60,12 +60,14 @@
                 servers(site, "engines", [READS]) as (one,),
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(reaching.look_forever, site.gateway)
-                async with site.asking("/stream/x", Deadline_Ms="5000", **PROMPT) as answers:
+                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="5000", **PROMPT
+                ) as answers:
                     await until(
                         lambda: any(item.is_streaming for item in site.gateway.attempts._attempts)
                     )
-                    site.gateway.peers._hear_news(long_prompt_at(one.name))
+                    site.gateway.peers._handle_work(long_prompt_at(one.name))
                 assert data_of(answers[0].body) == whole_stream(4)
                 assert MOVED not in str(site.gateway.counters.totals)
                 nursery.cancel_scope.cancel()
--- a/tests/platform/test_next_step.py
+++ b/tests/platform/test_next_step.py
@@ -9,8 +9,8 @@
 import trio
 
 from siskinspoke.coordination.books import Job, Work
-from siskinspoke.coordination.fullness import FULL_MS
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.fullness import NO_ROOM_TTL_MS
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway import reaching
 from siskinspoke.gateway.context import now_ms
 from tests.platform.site import gateway_site, late_server, request_bytes, servers, until
@@ -29,14 +29,14 @@
 def leave_one_retry(site) -> None:
     """Leave exactly one retry in the budget."""
     spend_budget(site)
-    while not site.gateway.budget.has_left("engines", now_ms()):
+    while not site.gateway.budget.can_spend("engines", now_ms()):
         site.gateway.budget.first_attempt("engines", now_ms())
 
 
 def fill(site, name: str, streams: int = 12) -> None:
     """Enter so many streams at an engine into the books; 12 are its maximum."""
     for _ in range(streams):
-        site.gateway.peers.began(Work(Job(1_000, 200, 300, 250), (name,), now_ms(), ()))
+        site.gateway.peers.begin_work(Work(Job(1_000, 200, 300, 250), (name,), now_ms(), ()))
 
 
 class TestNoFailover:
@@ -69,7 +69,7 @@
                 script = deque([Refuse(), Events(last=3, begin_after=0.9)])
                 for server in both:
                     server.script = script
-                nursery.start_soon(reaching.look_forever, site.gateway)
+                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
                 answer = await site.ask("/stream/x", **PROMPT)
                 assert answer.status == 200
                 assert data_of(answer.body) == whole_stream(3)
@@ -86,8 +86,8 @@
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
                 for number in range(vms - 1):
                     site.daemon._feeds.heard_peer(f"127.0.1.{number + 1}", "a")
-                assert bool(site.gateway.cells.others) == (vms > 24)
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                assert bool(site.gateway.cells.other_cells) == (vms > 24)
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: one.seen)
                     other = await late_server(site, Events(last=4))
                     fill(site, other.name)
@@ -102,10 +102,12 @@
         async def run():
             script = [PAUSED]
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: one.seen)
                     other = await late_server(site, Refuse())
-                    site.gateway.standing.failed(other.name, Trouble.UNREACHABLE, now_ms())
+                    site.gateway.standing.record_failure(
+                        other.name, FailureKind.UNREACHABLE, now_ms()
+                    )
                 assert data_of(answers[0].body) == whole_stream(4)
                 assert not other.seen
 
@@ -159,8 +161,8 @@
                 servers(site, "engines", script) as (one,),
                 trio.open_nursery() as nursery,
             ):
-                note = site.gateway.fullness.note
-                site.gateway.fullness.note = lambda *a: looks.append(a[-1]) or note(*a)
+                note = site.gateway.fullness.record
+                site.gateway.fullness.record = lambda *a: looks.append(a[-1]) or note(*a)
                 for number in range(12):
                     nursery.start_soon(
                         partial(site.ask, "/stream/x", request_id=f"r{number}", **PROMPT)
@@ -171,7 +173,7 @@
         trio.run(run)
         assert looks
         pauses = [later - earlier for earlier, later in pairwise(looks)]
-        assert all(pause >= FULL_MS for pause in pauses)
+        assert all(pause >= NO_ROOM_TTL_MS for pause in pauses)
 
     def test_books_are_empty_afterwards(self, tmp_path):
         """Streams reserve their next places before they leave, and are cancelled in between."""
@@ -179,10 +181,10 @@
         async def run():
             script = [Events(last=2, then="silent")]
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
-                async with site.asking("/stream/x", Deadline_Ms="1800", **PROMPT):
+                async with site.request_in_background("/stream/x", Deadline_Ms="1800", **PROMPT):
                     await until(lambda: one.seen)
                     await late_server(site, Events(last=4, begin_after=1.0))
-                assert site.gateway.books.open_works == 0
+                assert site.gateway.books.work_count == 0
 
         trio.run(run)
 
@@ -196,7 +198,9 @@
         async def run():
             script = [PAUSED]
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
-                async with site.asking("/stream/x", Deadline_Ms="5000", **PROMPT) as answers:
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="5000", **PROMPT
+                ) as answers:
                     await until(lambda: one.seen)
                     await late_server(site, Refuse())
                 assert data_of(answers[0].body) == whole_stream(4)
@@ -276,7 +280,7 @@
                 script = deque([mixed, Whole(status=500), Whole()])
                 for server in three:
                     server.script = script
-                async with site.asking("/again/x"):
+                async with site.request_in_background("/again/x"):
                     await until(lambda: any(server.seen for server in three))
                     (first,) = [server for server in three if server.seen]
                     site.announce(first, "plain", seq=2, leaving=True)
@@ -360,7 +364,7 @@
                 servers(site, "plain", [Whole(begin_after=LONG_CALL)], [Whole()]) as (one, two),
             ):
                 budget = site.gateway.budget
-                take, give_back = budget.take, budget.give_back
+                take, give_back = budget.spend, budget.refund
                 taken, given = [], []
 
                 def take_and_retire(*args):
@@ -368,10 +372,10 @@
                     leave_one(site, two)
                     return take(*args)
 
-                budget.take = take_and_retire
-                budget.give_back = lambda *args: given.append(args) or give_back(*args)
+                budget.spend = take_and_retire
+                budget.refund = lambda *args: given.append(args) or give_back(*args)
                 leave_one(site, two)
-                async with site.asking("/again/x") as answers:
+                async with site.request_in_background("/again/x") as answers:
                     await until(lambda: one.seen)
                     site.announce(two, "plain", started=5)
                 assert answers[0].status == 200
--- a/tests/platform/test_plain_calls.py
+++ b/tests/platform/test_plain_calls.py
@@ -67,7 +67,9 @@
                 for number in range(4):
                     answer = await site.ask("/again/x", f"r{number + 1}")
                     assert answer.body == b"right"
-                site.gateway.directory.retire(*site.gateway.directory.latest("i-plain1").start)
+                site.gateway.directory.mark_leaving(
+                    *site.gateway.directory.latest("i-plain1").start
+                )
                 answer = await site.ask("/once/x", "r9")
                 assert answer.status == 502
                 assert b"late" not in answer.raw
--- a/tests/platform/test_restarted_servers.py
+++ b/tests/platform/test_restarted_servers.py
@@ -3,9 +3,9 @@
 import trio
 
 from siskinspoke.coordination.books import Job, Work
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.standing import FailureKind
 from siskinspoke.gateway.context import now_ms
-from siskinspoke.gateway.reservations import Held, _release, _renew_forever
+from siskinspoke.gateway.reservations import Reservation, _release, _renew_forever
 from tests.platform.site import gateway_site, servers, until
 from tests.platform.standin_server import Events, Silent, Whole
 from tests.platform.test_streams import PROMPT, data_of, event
@@ -30,8 +30,8 @@
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", dark, [Events(last=4)]) as (one, two),
             ):
-                site.gateway.directory.retire(*site.gateway.directory.latest(two.name).start)
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                site.gateway.directory.mark_leaving(*site.gateway.directory.latest(two.name).start)
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: one.seen)
                     await trio.sleep(0.05)
                     site.announce(two, "engines", started=5)
@@ -55,7 +55,7 @@
                 gateway_site(tmp_path) as site,
                 servers(site, "plain", [Silent(), Whole()]) as (one,),
             ):
-                async with site.asking("/once/x") as answers:
+                async with site.request_in_background("/once/x") as answers:
                     await until(lambda: one.seen)
                     with trio.fail_after(PROMPT_END_SECONDS):
                         site.announce(one, "plain", started=9)
@@ -72,7 +72,7 @@
                 servers(site, "engines", [Events(last=6, pause=0.05)]) as (one,),
             ):
                 site.announce(one, "engines", started=9)
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: one.seen)
                     site.announce(one, "engines", seq=99, started=8)
                 assert answers[0].whole
@@ -94,14 +94,14 @@
             ):
                 gateway = site.gateway
                 await site.ask("/stream/x", **PROMPT)
-                gateway.standing.failed(one.name, Trouble.SILENT, now_ms())
-                gateway.books.engine(one.name).pace = 4.0
+                gateway.standing.record_failure(one.name, FailureKind.SILENT, now_ms())
+                gateway.books.engine(one.name).slowdown = 4.0
                 job = Job(5_000, 900, 300.0, 250.0)
-                gateway.peers.began(Work(job, (one.name,), now_ms()))
+                gateway.peers.begin_work(Work(job, (one.name,), now_ms()))
                 site.announce(one, "engines", started=9)
-                assert not gateway.standing.is_aside(one.name, now_ms())
-                assert gateway.books.engine(one.name).works == {}
-                assert gateway.books.engine(one.name).pace == 1.0
+                assert not gateway.standing.is_ejected(one.name, now_ms())
+                assert gateway.books.engine(one.name).in_flight == {}
+                assert gateway.books.engine(one.name).slowdown == 1.0
                 answer = await site.ask("/stream/x", **PROMPT)
                 assert answer.whole
                 assert one.connections == 2
@@ -120,11 +120,11 @@
                 servers(site, "engines", [Whole(status=200)]) as (one,),
             ):
                 record = site.gateway.directory.latest(one.name)
-                held = Held(record, "r-1", 1_000)
+                held = Reservation(record, "r-1", 1_000)
                 site.announce(one, "engines", started=9)
                 with trio.move_on_after(0.9):
                     await _renew_forever(site.gateway, [held], set(), trio.CancelScope())
-                await _release(site.gateway, held, unsure=True)
+                await _release(site.gateway, held, is_unconfirmed=True)
                 assert one.seen == []
 
         trio.run(run)
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -26,7 +26,7 @@
 
 def spend_budget(site, service: str = "engines") -> None:
     """Use up the retry budget."""
-    while site.gateway.budget.take(service, now_ms()):
+    while site.gateway.budget.spend(service, now_ms()):
         pass
 
 
@@ -108,7 +108,9 @@
         async def run():
             script = [Events(last=2, then="silent")]
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
-                async with site.asking("/stream/x", Deadline_Ms="5000", **PROMPT) as answers:
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="5000", **PROMPT
+                ) as answers:
                     await until(lambda: one.seen)
                     await trio.sleep(LONG)
                     assert not answers
@@ -128,14 +130,14 @@
         async def run():
             network = Network(monkeypatch)
             async with gateway_site(tmp_path) as site, trio.open_nursery() as nursery:
-                nursery.start_soon(reaching.look_forever, site.gateway)
+                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
                 async with servers(site, "engines", [PAUSED]) as (one,):
                     network.dark.add(one.port)
                     site.gateway.pool.put(
                         site.gateway.directory.latest(one.name),
                         await network._connect(one.host, one.port, None, now_ms()),
                     )
-                    async with site.asking("/stream/x", **PROMPT) as answers:
+                    async with site.request_in_background("/stream/x", **PROMPT) as answers:
                         await until(lambda: site.gateway.standing.is_unreachable(one.name))
                         assert not answers
                     assert data_of(answers[0].body) == whole_stream(4)
@@ -157,7 +159,7 @@
         async def run():
             script = [Events(last=2, pause=0.05, then="cut")]
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: one.closed)
                     await trio.sleep(0.5)
                     assert not answers
@@ -174,7 +176,7 @@
             script = [Events(last=2, pause=0.05, then="cut")]
             async with gateway_site(tmp_path) as site, servers(site, "engines", script) as (one,):
                 spend_budget(site)
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     await until(lambda: one.closed)
                     other = await late_server(site, Events(last=4))
                     await trio.sleep(0.3)
@@ -222,7 +224,7 @@
                 )
                 for server in three:
                     server.script = script
-                async with site.asking("/stream/x", **PROMPT) as answers:
+                async with site.request_in_background("/stream/x", **PROMPT) as answers:
                     left = set()
                     while not answers:
                         await trio.sleep(0.02)
@@ -268,7 +270,7 @@
                 servers(site, "engines", script, script) as both,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(reaching.look_forever, site.gateway)
+                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
                 spend_budget(site)
                 answer = await site.ask("/stream/x", **PROMPT)
                 assert data_of(answer.body) == whole_stream(3)
--- a/tests/platform/test_taken_steps.py
+++ b/tests/platform/test_taken_steps.py
@@ -80,9 +80,11 @@
                 script = deque([Refuse(), Events(last=2, then="silent"), Events(last=4)])
                 for server in both:
                     server.script = script
-                nursery.start_soon(reaching.look_forever, site.gateway)
-                nursery.start_soon(reaching.look_again_forever, site.gateway)
-                async with site.asking("/stream/x", Deadline_Ms="5000", **PROMPT) as answers:
+                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reaching.probe_unreachable_forever, site.gateway)
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="5000", **PROMPT
+                ) as answers:
                     await until(lambda: all(server.seen for server in both))
                     (writer,) = [s for s in both if any(seen.ran for seen in s.seen)]
                     network.dark.add(writer.port)
@@ -104,7 +106,9 @@
                 for server in both:
                     server.script = script
                     site.announce(server, "engines", seq=2, started=1)
-                async with site.asking("/stream/x", Deadline_Ms="4000", **PROMPT) as answers:
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="4000", **PROMPT
+                ) as answers:
                     await until(lambda: any(server.seen for server in both))
                     await trio.sleep(0.2)
                     (first,) = [server for server in both if server.seen]
@@ -125,7 +129,9 @@
                 gateway_site(tmp_path, timeout_ms=5_500) as site,
                 servers(site, "engines", [Events(last=2, then="cut")]) as (one,),
             ):
-                async with site.asking("/stream/x", Deadline_Ms="5000", **PROMPT) as answers:
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="5000", **PROMPT
+                ) as answers:
                     await until(lambda: one.closed)
                     other = await late_server(site, Refuse())
                     await trio.sleep(1.5)
@@ -161,8 +167,8 @@
                 # The second stream goes to an engine that is otherwise full.
                 other = await late_server(site, silent)
                 fill(site, other.name, 11)
-                believed = site.gateway.directory.believed_among
-                site.gateway.directory.believed_among = lambda names, now: [
+                believed = site.gateway.directory.routable_among
+                site.gateway.directory.routable_among = lambda names, now: [
                     record for record in believed(names, now) if record.start != one_record.start
                 ]
                 await trio.sleep(began + 0.05 - trio.current_time())
@@ -173,7 +179,7 @@
 
                 nursery.start_soon(second)
                 await until(lambda: other.seen)
-                site.gateway.directory.believed_among = believed
+                site.gateway.directory.routable_among = believed
                 await until(lambda: answers, seconds=6)
                 assert data_of(answers[0].body) == whole_stream(4)
                 nursery.cancel_scope.cancel()
@@ -197,9 +203,9 @@
                 servers(site, service, [behaviour], [behaviour]) as both,
             ):
                 record = site.gateway.directory.latest(both[1].name)
-                site.gateway.directory.retire(*record.start)
+                site.gateway.directory.mark_leaving(*record.start)
                 network.dark.add(both[0].port)
-                async with site.asking(path, **PROMPT) as answers:
+                async with site.request_in_background(path, **PROMPT) as answers:
                     await trio.sleep(0.03)
                     site.announce(both[1], service, started=5)
                 assert answers[0].status == 200
@@ -225,7 +231,9 @@
                     server.script = script
                 dark, *rest = three
                 for server in rest:
-                    site.gateway.directory.retire(*site.gateway.directory.latest(server.name).start)
+                    site.gateway.directory.mark_leaving(
+                        *site.gateway.directory.latest(server.name).start
+                    )
                 network.dark.add(dark.port)
                 answers = {}
 
@@ -257,13 +265,15 @@
                 servers(site, "engines", script) as (one,),
             ):
                 fail_over_with_the_answer(monkeypatch)
-                async with site.asking("/stream/x", Deadline_Ms="5500", **PROMPT) as answers:
+                async with site.request_in_background(
+                    "/stream/x", Deadline_Ms="5500", **PROMPT
+                ) as answers:
                     await until(lambda: one.seen)
                     other = await late_server(site, Events(last=30))
                     await trio.sleep(1.3)
                     assert not answers
                     assert not other.seen
-                    assert site.gateway.books.open_works == 1
+                    assert site.gateway.books.work_count == 1
                     assert repeats(site) == 0
                 assert data_of(answers[0].body) == whole_stream(30)
 
@@ -291,7 +301,9 @@
 
                 with pytest.MonkeyPatch.context() as patch:
                     patch.setattr(ClientConnection, "send_data", slowly)
-                    async with site.asking("/stream/x", Deadline_Ms="4000", **PROMPT) as answers:
+                    async with site.request_in_background(
+                        "/stream/x", Deadline_Ms="4000", **PROMPT
+                    ) as answers:
                         await until(lambda: one.seen)
                         await trio.sleep(0.1)
                         other = await late_server(site, Events(last=12))
@@ -305,7 +317,7 @@
                 assert not other.seen
                 assert len(third.seen) == 1
                 assert data_of(answers[0].body) == whole_stream(12)
-                assert site.gateway.books.open_works == 0
+                assert site.gateway.books.work_count == 0
 
         trio.run(run)
 
@@ -319,7 +331,7 @@
                 servers(site, "engines", script) as (one,),
             ):
                 fail_over_with_the_answer(monkeypatch)
-                async with site.asking("/stream/x", Deadline_Ms="5500", **PROMPT):
+                async with site.request_in_background("/stream/x", Deadline_Ms="5500", **PROMPT):
                     await until(lambda: one.seen)
                     other = await late_server(site, Events(last=30))
                     await trio.sleep(1.6)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -16,7 +16,7 @@
 import trio
 
 from siskinspoke.testing.group_site import PUBLIC_PORT, GroupSite
-from siskinspoke.testing.networks import SOAK_BY_HAND
+from siskinspoke.testing.networks import MANUAL_SOAK_NETS
 from tests.platform.site import KEY, document, read_answer, request_bytes
 from tests.platform.standin_server import (
     Close,
@@ -220,12 +220,12 @@
     def _mark_disturbed(self, gateway: str, *servers: StandinServer) -> None:
         """Exempt a disturbed gateway from earlier limits of servers, which it may have missed."""
         for server in servers or self.servers:
-            server.account.disturbed(self.site.host_of(gateway))
+            server.account.record_disturbance(self.site.host_of(gateway))
 
     async def _restart_server(self, number: int) -> None:
         proxy = self.proxies[number]
         proxy.server.rate_limit, proxy.server.leaving = None, False
-        proxy.server.account.restarted()
+        proxy.server.account.record_restart()
         self._record_fault(f"restart {proxy.server.name}")
         mode, proxy.mode = proxy.mode, "reset"
         await trio.sleep(0.1)
@@ -411,7 +411,7 @@
         self.down.add(name)
         self.site.signal(name, signal.SIGTERM)
         with trio.CancelScope(shield=True):
-            ended = await ends_within(STOP_TIMEOUT_SECONDS, lambda: self.site.alive(name))
+            ended = await ends_within(STOP_TIMEOUT_SECONDS, lambda: self.site.is_running(name))
         if not ended:
             self.violations.append(f"{name} did not stop in time")
             self.site.kill(name)
@@ -421,9 +421,9 @@
 
     async def _send_sighup(self) -> None:
         """Send SIGHUP at any time; it may end only a process that has no handler installed yet."""
-        if (name := self._pick_process()) is None or not self.site.alive(name):
+        if (name := self._pick_process()) is None or not self.site.is_running(name):
             return
-        survives = self.site.survives(name, signal.SIGHUP)
+        survives = self.site.survives_signal(name, signal.SIGHUP)
         self._record_fault(
             f"SIGHUP to {name}, {'handled' if survives else 'before its handler is installed'}"
         )
@@ -434,7 +434,7 @@
         self.down.add(name)
         with trio.CancelScope(shield=True):
             await trio.sleep(0.3)
-        if not self.site.alive(name):
+        if not self.site.is_running(name):
             self.site.start(name)
         self.down.discard(name)
 
@@ -456,7 +456,7 @@
         for proxy in self.proxies:
             proxy.mode = "pass"
         for name in (*REGISTRIES, *self.gateways):
-            if not self.site.alive(name):
+            if not self.site.is_running(name):
                 code = self.site.exit_code(name)
                 self.violations.append(f"{name} ended unexpectedly with exit code {code}")
                 self.site.start(name)
@@ -464,7 +464,7 @@
     async def _check_results(self) -> None:
         """Check the executed requests against their answers and limits, and the final version."""
         for server in self.servers:
-            self.violations += server.account.broken
+            self.violations += server.account.violations
         runs: dict[str, int] = defaultdict(int)
         for server in self.servers:
             for seen in server.seen:
@@ -520,7 +520,7 @@
     failed = 0
     for seed in range(first, first + count):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        net = SOAK_BY_HAND[first % len(SOAK_BY_HAND)]
+        net = MANUAL_SOAK_NETS[first % len(MANUAL_SOAK_NETS)]
         soak = run_soak(seed, folder, net, seconds, int(gateways))
         served_count = sum(n for (_, status), n in soak.status_counts.items() if status == 200)
         request_count = sum(soak.status_counts.values())
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from siskinspoke.testing.networks import in_turn, soak_nets
+from siskinspoke.testing.networks import net_cycle, soak_nets
 from tests.soak.soak import ends_within, run_soak
 
 RUN_SECONDS = 6.0
@@ -15,7 +15,7 @@
     31: "a gateway and the soak stalled together, and its stop was counted as late",
     40: "same as seed 3",
 }
-_next_net = in_turn(soak_nets)
+_next_net = net_cycle(soak_nets)
 
 
 class TestSoak:
--- a/tests/testing/test_networks.py
+++ b/tests/testing/test_networks.py
@@ -15,7 +15,7 @@
     WORKERS,
     NetworksError,
     group_nets,
-    in_turn,
+    net_cycle,
     networks_from,
     site_nets,
     soak_nets,
@@ -67,7 +67,7 @@
         kinds = (group_nets, soak_nets)
         workers = [{WORKER: f"gw{number}", FIRST_NET: "80"} for number in range(WORKERS)]
         third_octets = [net for worker in workers for kind in kinds for net in kind(worker)]
-        third_octets += [networks.FEED_SLOPES, *networks.SOAK_BY_HAND]
+        third_octets += [networks.FEED_SLOPES, *networks.MANUAL_SOAK_NETS]
         assert len(third_octets) == len(set(third_octets))
         assert 0 <= min(third_octets) <= max(third_octets) <= 255
 
@@ -98,12 +98,12 @@
     def test_wraps_around(self, monkeypatch):
         monkeypatch.setenv(WORKER, "gw1")
         monkeypatch.setenv(FIRST_NET, "80")
-        next_net = in_turn(site_nets)
+        next_net = net_cycle(site_nets)
         assert [next_net() for _ in range(21)] == [*range(110, 130), 110]
 
     def test_error_is_raised_on_each_call(self, monkeypatch):
         monkeypatch.setenv(FIRST_NET, "ten")
-        next_net = in_turn(site_nets)
+        next_net = net_cycle(site_nets)
         for _ in range(2):
             with pytest.raises(NetworksError, match="E001"):
                 next_net()
--- a/tests/testing/test_server_account.py
+++ b/tests/testing/test_server_account.py
@@ -7,7 +7,7 @@
     """Return the account of a server that has told VMs a and b its rate limit at 0 s."""
     account = ServerAccount("i-1")
     for vm in ("a", "b"):
-        account.answered(vm, 0.0, rate)
+        account.record_answer(vm, 0.0, rate)
     return account
 
 
@@ -17,45 +17,45 @@
     def test_at_the_limit(self):
         account = limited_account()
         for number in range(11):
-            account.arrived("ab"[number % 2], 1.0 + number / 10)
-        assert not account.broken
+            account.record_request("ab"[number % 2], 1.0 + number / 10)
+        assert not account.violations
 
     def test_one_above_the_limit_across_two_vms(self):
         account = limited_account()
         for number in range(12):
-            account.arrived("ab"[number % 2], 1.0 + number / 10)
-        assert len(account.broken) == 1
+            account.record_request("ab"[number % 2], 1.0 + number / 10)
+        assert len(account.violations) == 1
 
     def test_window_slides(self):
         account = limited_account()
         for number in range(60):
-            account.arrived("a", 1.0 + number * 0.4)
-        assert not account.broken
+            account.record_request("a", 1.0 + number * 0.4)
+        assert not account.violations
 
     def test_uninformed_vm_is_not_counted(self):
         account = limited_account()
         for number in range(30):
-            account.arrived("c", 1.0 + number / 10)
-            account.arrived("a", 0.4)
-        assert not account.broken
+            account.record_request("c", 1.0 + number / 10)
+            account.record_request("a", 0.4)
+        assert not account.violations
 
     def test_disturbed_vm_is_exempt_until_informed_again(self):
         account = limited_account()
-        account.disturbed("a")
+        account.record_disturbance("a")
         for number in range(30):
-            account.arrived("a", 1.0 + number / 10)
-        assert not account.broken
-        account.answered("a", 10.0, 1.0)
+            account.record_request("a", 1.0 + number / 10)
+        assert not account.violations
+        account.record_answer("a", 10.0, 1.0)
         for number in range(12):
-            account.arrived("a", 11.0 + number / 10)
-        assert account.broken
+            account.record_request("a", 11.0 + number / 10)
+        assert account.violations
 
     def test_answer_without_a_limit_clears_it(self):
         account = limited_account()
-        account.answered("a", 0.5, None)
+        account.record_answer("a", 0.5, None)
         for number in range(30):
-            account.arrived("a", 1.0 + number / 10)
-        assert not account.broken
+            account.record_request("a", 1.0 + number / 10)
+        assert not account.violations
 
 
 class TestBackOff:
@@ -63,18 +63,18 @@
 
     def test_two_requests_in_flight(self):
         account = ServerAccount("i-1")
-        account.answered("a", 0.0, None, back_off=3.0)
+        account.record_answer("a", 0.0, None, back_off=3.0)
         for now in (0.1, 0.2, 0.3, 0.4, 1.0, 2.0, 3.1, 3.2, 3.3):
-            account.arrived("a", now)
-            account.arrived("b", now)
-        assert not account.broken
+            account.record_request("a", now)
+            account.record_request("b", now)
+        assert not account.violations
 
     def test_third_request(self):
         account = ServerAccount("i-1")
-        account.answered("a", 0.0, None, back_off=3.0)
+        account.record_answer("a", 0.0, None, back_off=3.0)
         for now in (0.6, 1.0, 2.9):
-            account.arrived("a", now)
-        assert len(account.broken) == 1
+            account.record_request("a", now)
+        assert len(account.violations) == 1
 
 
 class TestLeave:
@@ -82,9 +82,9 @@
 
     def test_late_request(self):
         account = ServerAccount("i-1")
-        account.answered("a", 0.0, None, leaving=True)
-        account.arrived("a", 1.9)
-        account.arrived("b", 9.0)
-        assert not account.broken
-        account.arrived("a", 2.1)
-        assert len(account.broken) == 1
+        account.record_answer("a", 0.0, None, leaving=True)
+        account.record_request("a", 1.9)
+        account.record_request("b", 9.0)
+        assert not account.violations
+        account.record_request("a", 2.1)
+        assert len(account.violations) == 1
