--- a/siskinspoke/bench/pass_bench.py
+++ b/siskinspoke/bench/pass_bench.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from siskinspoke.coordination.books import Job, Work, WorkTable
-from siskinspoke.coordination.passes import DecodingStream, pass_ms, prefill_ms
+from siskinspoke.coordination.cell_offers import ASKED_CELLS, best_offer, lacks_room
+from siskinspoke.coordination.cost_model import DecodingStream, pass_ms, prefill_ms
 from siskinspoke.coordination.placement import Candidate, Place, Placement
 from siskinspoke.coordination.routes import EngineCosts
-from siskinspoke.coordination.widening import ASKED_CELLS, best_offer, lacks_room
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 
 SMALL = EngineCosts(8, 315_000, 51, 0.85, 0.0085, 0.00285, 177.0, 0.184)
 LARGE = EngineCosts(6, 267_750, 57, 0.85, 0.0085, 0.00285, 177.0, 0.184)
--- a/siskinspoke/control/app.py
+++ b/siskinspoke/control/app.py
@@ -7,7 +7,8 @@
 from siskinspoke.conf import Settings, configuration_from
 from siskinspoke.conf.settings import ControlVM
 from siskinspoke.control.replica_task import ReplicaTask
-from siskinspoke.coordination.machine import (
+from siskinspoke.coordination.orders import ACTIONS, OrderBody, OrderRequest
+from siskinspoke.coordination.state_machine import (
     CLAIM,
     CONFIGURE,
     LOOKUP,
@@ -16,7 +17,6 @@
     ConfigureBody,
     ConfigureRequest,
 )
-from siskinspoke.coordination.orders import ACTIONS, OrderBody, OrderRequest
 from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 from siskinspoke.core.counters import Counters
 from siskinspoke.entry.internal_app import operator_allowed
--- a/siskinspoke/control/order_task.py
+++ b/siskinspoke/control/order_task.py
@@ -6,7 +6,6 @@
 from loguru import logger
 
 from siskinspoke.control.replica_task import ReplicaTask, now_ms, wall_ms
-from siskinspoke.coordination.machine import ORDER_END
 from siskinspoke.coordination.orders import (
     ORDER_LIFETIME_MS,
     ORDER_TIMEOUT_MS,
@@ -14,6 +13,7 @@
     OrderEnd,
     OrderRecord,
 )
+from siskinspoke.coordination.state_machine import ORDER_END
 from siskinspoke.core.counters import Counters
 from siskinspoke.transport.http import make_client
 
--- a/siskinspoke/control/registry.py
+++ b/siskinspoke/control/registry.py
@@ -9,11 +9,11 @@
 from collections.abc import Set
 from typing import NamedTuple
 
-from siskinspoke.control.feed_hub import FeedHub, ConfigurationVersion
+from siskinspoke.control.feed_hub import ConfigurationVersion, FeedHub
 from siskinspoke.control.replica_task import ReplicaTask, now_ms
+from siskinspoke.coordination.announcement_checks import announcement_fault
 from siskinspoke.coordination.directory import AnnouncementEffect, Directory
-from siskinspoke.coordination.machine import PUBLISH, PublishRequest
-from siskinspoke.coordination.vetting import announcement_fault
+from siskinspoke.coordination.state_machine import PUBLISH, PublishRequest
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
--- a/siskinspoke/control/replica_task.py
+++ b/siskinspoke/control/replica_task.py
@@ -18,9 +18,14 @@
 )
 from siskinspoke.control.replica_report import ReplicaReport
 from siskinspoke.control.replica_writer import ReplicaWriter, Synced, Write
-from siskinspoke.coordination.machine import PUBLISH, PublishAnswer, PublishRequest, StateMachine
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica_types import Output, Role
+from siskinspoke.coordination.state_machine import (
+    PUBLISH,
+    PublishAnswer,
+    PublishRequest,
+    StateMachine,
+)
 from siskinspoke.core.channels import receive_queued
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol.replication import Committed, Entry, Forward, Forwarded, Snapshot
--- a/siskinspoke/coordination/directory.py
+++ b/siskinspoke/coordination/directory.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from siskinspoke.protocol.announcements import Announcement, Load, server_key, merge_load
+from siskinspoke.protocol.announcements import Announcement, Load, merge_load, server_key
 
 LEFT_RETENTION_MS = 60_000
 CAPACITY_RETENTION_MS = 3_600_000
--- a/siskinspoke/coordination/placement.py
+++ b/siskinspoke/coordination/placement.py
@@ -10,9 +10,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from siskinspoke.coordination.books import Job, Stage, WorkTable
-from siskinspoke.coordination.passes import DecodingStream, pass_ms, prefill_ms
+from siskinspoke.coordination.cost_model import DecodingStream, pass_ms, prefill_ms
 from siskinspoke.coordination.routes import EngineCosts
+from siskinspoke.coordination.work_table import Job, Stage, WorkTable
 
 # Maximum number of engines, besides the decoding one, that prefill parts of one prompt.
 MAX_HELPERS = 16
--- a/siskinspoke/coordination/replica/core.py
+++ b/siskinspoke/coordination/replica/core.py
@@ -3,9 +3,9 @@
 import math
 import random
 
+from siskinspoke.coordination.bootstrap import FOUNDER_INCARNATION, Bootstrap
 from siskinspoke.coordination.election_timer import ElectionTimer
 from siskinspoke.coordination.followers import Followers
-from siskinspoke.coordination.founding import FOUNDER_INCARNATION, Bootstrap
 from siskinspoke.coordination.membership import ADMIT, Learners, Membership
 from siskinspoke.coordination.replica_types import (
     Output,
--- a/siskinspoke/coordination/replica/members.py
+++ b/siskinspoke/coordination/replica/members.py
@@ -1,6 +1,6 @@
 """Bootstrap of a replica, joining a group, and membership changes by the leader."""
 
-from siskinspoke.coordination.founding import FOUNDER_INCARNATION, new_incarnation
+from siskinspoke.coordination.bootstrap import FOUNDER_INCARNATION, new_incarnation
 from siskinspoke.coordination.membership import ADD, ADMIT, FOUND, REMOVE, member_to_remove
 from siskinspoke.coordination.replica.core import ReplicaCore
 from siskinspoke.coordination.replica_types import FoundGroup, JoinGroup, QueryPeers, Role
--- a/siskinspoke/entry/completion_attempts.py
+++ b/siskinspoke/entry/completion_attempts.py
@@ -7,8 +7,8 @@
 
 from siskinspoke.coordination.crash_watch import OpenRun, RunEnd
 from siskinspoke.coordination.deadlines import margin_seconds
+from siskinspoke.coordination.excluded_servers import ExcludedServers
 from siskinspoke.coordination.fingerprints import RequestIdentity
-from siskinspoke.coordination.left_out import ExcludedServers
 from siskinspoke.coordination.routing import Choice, DispatchId, RoutingRequest, length_class
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.entry import groups
--- a/siskinspoke/entry/context.py
+++ b/siskinspoke/entry/context.py
@@ -17,7 +17,7 @@
 from siskinspoke.coordination.routing import Router
 from siskinspoke.core.codes import Failure
 from siskinspoke.core.counters import Counters
-from siskinspoke.core.standstill import StallDetector
+from siskinspoke.core.stall_detector import StallDetector
 from siskinspoke.entry.backend import Backend
 from siskinspoke.entry.control_client import ControlClient
 from siskinspoke.entry.janitor import Janitor
--- a/siskinspoke/entry/daemon.py
+++ b/siskinspoke/entry/daemon.py
@@ -19,7 +19,7 @@
 from siskinspoke.coordination.routing import Router
 from siskinspoke.coordination.watchers import SMALL_SITE_ENTRY_VMS
 from siskinspoke.core.counters import Counters, create_counters
-from siskinspoke.core.standstill import StallDetector, tick_forever
+from siskinspoke.core.stall_detector import StallDetector, tick_forever
 from siskinspoke.entry.backend import Backend
 from siskinspoke.entry.context import EntryContext
 from siskinspoke.entry.control_client import ControlClient
--- a/siskinspoke/gateway/placing.py
+++ b/siskinspoke/gateway/assignment.py
@@ -2,13 +2,14 @@
 
 from dataclasses import dataclass, replace
 
-from siskinspoke.coordination.books import Job
+from siskinspoke.coordination.cell_offers import lacks_room
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.fullness import RoomSearch
+from siskinspoke.coordination.no_room_cache import RoomSearch
 from siskinspoke.coordination.placement import SAMPLED_ENGINES, Candidate, Place
 from siskinspoke.coordination.routes import EngineCosts
-from siskinspoke.coordination.widening import lacks_room
+from siskinspoke.coordination.work_table import Job
 from siskinspoke.gateway.context import Gateway, Request, now_ms
+from siskinspoke.gateway.remote_placement import request_remote_place
 from siskinspoke.gateway.servers import (
     REMOTE_DOMAIN_MS,
     candidates,
@@ -16,7 +17,6 @@
     least_loaded,
     reachable_unlimited,
 )
-from siskinspoke.gateway.widening import request_remote_place
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion
 
 # Penalty of a server, times the share of its requests that fail.  Milliseconds.
@@ -221,7 +221,9 @@
     """
     own_domain = gateway.settings.failure_domain
     offered = []
-    shared = [item for item in records if not gateway.work_table.is_exclusive(item.announcement.server)]
+    shared = [
+        item for item in records if not gateway.work_table.is_exclusive(item.announcement.server)
+    ]
     records = shared or records
     for record in records:
         announcement = record.announcement
@@ -246,7 +248,7 @@
 
 
 def decode_pass_ms(gateway: Gateway, request: Request, assignment: Assignment) -> float:
-    """Return how long a pass of the writing engine takes, according to the books."""
+    """Return how long a pass of the writing engine takes, according to the work table."""
     costs = _costs(gateway, request.service)
     if costs is None:
         return request.route.pause_ms or DEFAULT_PAUSE_MS
--- a/siskinspoke/gateway/context.py
+++ b/siskinspoke/gateway/context.py
@@ -10,19 +10,19 @@
 
 from siskinspoke.conf.vm import VmSettings
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import WorkTable
 from siskinspoke.coordination.crash_watch import CrashWatch
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.domains import DomainMonitor
 from siskinspoke.coordination.fingerprints import RequestIdentity
-from siskinspoke.coordination.foresight import FirstTokenMargin
-from siskinspoke.coordination.fullness import NoRoomCache
+from siskinspoke.coordination.first_token_margin import FirstTokenMargin
 from siskinspoke.coordination.liveness import ConnectTimeout, ProbeTracker
+from siskinspoke.coordination.no_room_cache import NoRoomCache
 from siskinspoke.coordination.placement import Placement
 from siskinspoke.coordination.rate_limits import RateLimits
 from siskinspoke.coordination.retries import SharedRetryBudget
 from siskinspoke.coordination.routes import CallKind, ClientLimits, Customer, Route, RouteTable
-from siskinspoke.coordination.standing import ServerHealth
+from siskinspoke.coordination.server_health import ServerHealth
+from siskinspoke.coordination.work_table import WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.core.latencies import Latencies
@@ -31,7 +31,7 @@
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
 from siskinspoke.gateway.pool import Pool
-from siskinspoke.gateway.questions import Queries
+from siskinspoke.gateway.queries import Queries
 from siskinspoke.gateway.wire import Call, Wire
 
 # How long after the stop signal a VM still accepts requests. The load balancer stops sending new
--- a/siskinspoke/gateway/crashes.py
+++ b/siskinspoke/gateway/crashes.py
@@ -15,7 +15,7 @@
     witnesses_of,
 )
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.reaching import NoConnection, probe_now
+from siskinspoke.gateway.reachability import NoConnection, probe_now
 from siskinspoke.gateway.upstream import OutcomeUnknown
 
 # A server may still crash from an attempt that was moved away from it, so it is probed after this
--- a/siskinspoke/gateway/daemon.py
+++ b/siskinspoke/gateway/daemon.py
@@ -10,7 +10,6 @@
 from siskinspoke.conf.vm import VmSettings
 from siskinspoke.conf.watch import SettingsWatcher
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import WorkTable
 from siskinspoke.coordination.crash_watch import CrashWatch
 from siskinspoke.coordination.directory import AnnouncementEffect, Directory
 from siskinspoke.coordination.domains import DomainMonitor
@@ -18,23 +17,24 @@
 from siskinspoke.coordination.placement import Placement
 from siskinspoke.coordination.rate_limits import RateLimits
 from siskinspoke.coordination.retries import SharedRetryBudget
-from siskinspoke.coordination.standing import ServerHealth
+from siskinspoke.coordination.server_health import ServerHealth
+from siskinspoke.coordination.work_table import WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.core.latencies import Latencies
 from siskinspoke.core.supervise import keep_running
 from siskinspoke.feeds.follower import FeedClients, FeedHandlers, FollowerIdentity
+from siskinspoke.gateway.announcements import handle_announcement
+from siskinspoke.gateway.assignment import make_offer
 from siskinspoke.gateway.attempts import OpenAttempts
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.clients import ClientServer
 from siskinspoke.gateway.context import Gateway, now_ms
-from siskinspoke.gateway.lives import handle_announcement
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
-from siskinspoke.gateway.placing import make_offer
 from siskinspoke.gateway.pool import Pool
-from siskinspoke.gateway.questions import Queries
-from siskinspoke.gateway.reaching import (
+from siskinspoke.gateway.queries import Queries
+from siskinspoke.gateway.reachability import (
     handle_loss_report,
     probe_overdue_forever,
     probe_unreachable_forever,
@@ -85,7 +85,9 @@
         )
         directory = Directory(settings.announce_every_ms * ANNOUNCEMENTS_PER_LEASE)
         self._feeds = FeedClients(
-            FollowerIdentity(settings.name, settings.host, settings.peer_port, settings.failure_domain),
+            FollowerIdentity(
+                settings.name, settings.host, settings.peer_port, settings.failure_domain
+            ),
             settings.seed_hosts,
             settings.feed_port,
             settings.internal_key,
--- a/siskinspoke/gateway/onward.py
+++ b/siskinspoke/gateway/failover.py
@@ -13,11 +13,11 @@
 from typing import NamedTuple
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.left_out import ExcludedServers
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.excluded_servers import ExcludedServers
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.gateway.assignment import Assignment
 from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, RESTARTED
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.placing import Assignment
 from siskinspoke.gateway.upstream import NotRun, OutcomeUnknown
 
 # Attempts that reached a server, and attempts that reached none.  The latter cost some milliseconds
@@ -46,7 +46,7 @@
 
 
 class PlannedAttempt(NamedTuple):
-    """A stream's next assignment, its work number in the books, and when it was planned."""
+    """A stream's next assignment, its number in the work table, and when it was planned."""
 
     assignment: Assignment
     work: int | None
@@ -146,8 +146,8 @@
 class Failover:
     """Plan the next attempt of a request; log each reason why there is none, once.
 
-    ``plan_next`` looks for another server, enters a stream's work into the books, and tells whether
-    it found one.
+    ``plan_next`` looks for another server, enters a stream's work into the work table, and tells
+    whether it found one.
     """
 
     def __init__(
--- a/siskinspoke/gateway/peers.py
+++ b/siskinspoke/gateway/peers.py
@@ -10,13 +10,13 @@
 
 import trio
 
-from siskinspoke.coordination.books import Job, Work, WorkTable
 from siskinspoke.coordination.cells import Cell
 from siskinspoke.coordination.domains import DomainMonitor
 from siskinspoke.coordination.retries import SharedRetryBudget
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
-from siskinspoke.gateway.questions import Queries
+from siskinspoke.gateway.queries import Queries
 from siskinspoke.protocol.crashes import CrashNews
 from siskinspoke.protocol.feed import ControlUp
 from siskinspoke.protocol.peers import (
--- a/siskinspoke/gateway/permits.py
+++ b/siskinspoke/gateway/permits.py
@@ -18,7 +18,7 @@
 )
 from siskinspoke.coordination.rate_limits import RateLimit, RateLimits
 from siskinspoke.core.counters import Counters
-from siskinspoke.gateway.questions import Queries
+from siskinspoke.gateway.queries import Queries
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PermitReply, PermitRequest
 
--- a/siskinspoke/gateway/plain.py
+++ b/siskinspoke/gateway/plain.py
@@ -10,13 +10,13 @@
 from siskinspoke.coordination.crash_watch import RunEnd
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.liveness import answer_timeout_ms
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
 from siskinspoke.gateway.crashes import check_for_crash, check_quarantine, track_attempt
-from siskinspoke.gateway.onward import Failover, RetryState
-from siskinspoke.gateway.sending import hold_ends_in_ms
+from siskinspoke.gateway.failover import Failover, RetryState
+from siskinspoke.gateway.holds import hold_ends_in_ms
 from siskinspoke.gateway.servers import (
     candidates,
     choose_service,
--- a/siskinspoke/gateway/reaching.py
+++ b/siskinspoke/gateway/reachability.py
@@ -5,7 +5,7 @@
 import trio
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.transport.http1 import ServerConnection, connect
 
--- a/siskinspoke/gateway/relaying.py
+++ b/siskinspoke/gateway/relaying.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.gateway.assignment import Assignment
 from siskinspoke.gateway.attempts import Attempt
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.placing import Assignment
 from siskinspoke.gateway.plain import WholeAnswer
 from siskinspoke.gateway.upstream import (
     AnswerStarted,
--- a/siskinspoke/gateway/widening.py
+++ b/siskinspoke/gateway/remote_placement.py
@@ -8,13 +8,13 @@
 
 from collections.abc import Iterable
 
-from siskinspoke.coordination.books import Job
+from siskinspoke.coordination.cell_offers import ASKED_CELLS, best_offer
 from siskinspoke.coordination.cells import Cell
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.coordination.placement import Place
-from siskinspoke.coordination.widening import ASKED_CELLS, best_offer
+from siskinspoke.coordination.work_table import Job
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.sending import find_hold
+from siskinspoke.gateway.holds import find_hold
 from siskinspoke.gateway.servers import REMOTE_DOMAIN_MS
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion
 
--- a/siskinspoke/gateway/reports.py
+++ b/siskinspoke/gateway/reports.py
@@ -13,13 +13,13 @@
 import trio
 import xxhash
 
-from siskinspoke.coordination.books import WorkTable
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.coordination.work_table import WorkTable
+from siskinspoke.gateway.announcements import handle_announcement
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.exchange import ask
-from siskinspoke.gateway.lives import handle_announcement
-from siskinspoke.gateway.reaching import probe, start_probe
+from siskinspoke.gateway.reachability import probe, start_probe
 
 POLL_INTERVAL_SECONDS = 1.0
 REPORT_TIMEOUT_SECONDS = 0.4
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -1,9 +1,9 @@
 """Selection of backend servers for a request, and evaluation of its failed attempts."""
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.sending import hold_ends_in_ms, without_hold, without_rate_limit
+from siskinspoke.gateway.holds import hold_ends_in_ms, without_hold, without_rate_limit
 from siskinspoke.gateway.upstream import NotRun, OutcomeUnknown
 
 # Extra latency of a server in another failure domain: two more network crossings.
--- a/siskinspoke/gateway/streams.py
+++ b/siskinspoke/gateway/streams.py
@@ -5,19 +5,15 @@
 
 import trio
 
-from siskinspoke.coordination.books import Work
+from siskinspoke.coordination.cost_model import prefill_ms
 from siskinspoke.coordination.crash_watch import RunEnd
 from siskinspoke.coordination.liveness import event_timeout_ms, first_token_timeout_ms
-from siskinspoke.coordination.moving import PauseForecast, should_move
-from siskinspoke.coordination.passes import prefill_ms
-from siskinspoke.coordination.second_tries import decide_retry, first_check_after_ms
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.retry_timing import decide_retry, first_check_after_ms
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.coordination.stream_moves import PauseForecast, should_move
+from siskinspoke.coordination.work_table import Work
 from siskinspoke.core.codes import Failure, ResultCode
-from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, MOVED, RECHECK_SECONDS, Attempt
-from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.crashes import check_for_crash, check_quarantine, track_attempt
-from siskinspoke.gateway.onward import Failover, PlannedAttempt, RetryObstacle, RetryState
-from siskinspoke.gateway.placing import (
+from siskinspoke.gateway.assignment import (
     ISOLATION_CRASHES,
     MIN_TARGET_MS,
     Assignment,
@@ -26,6 +22,11 @@
     decode_pass_ms,
     failover_assignment,
 )
+from siskinspoke.gateway.attempts import ANSWER_TIMED_OUT, MOVED, RECHECK_SECONDS, Attempt
+from siskinspoke.gateway.context import Gateway, Request, now_ms
+from siskinspoke.gateway.crashes import check_for_crash, check_quarantine, track_attempt
+from siskinspoke.gateway.failover import Failover, PlannedAttempt, RetryObstacle, RetryState
+from siskinspoke.gateway.holds import check_hold
 from siskinspoke.gateway.plain import MAX_IDLE_MS, WholeAnswer, no_server_failure, run_end
 from siskinspoke.gateway.relaying import (
     Reconsider,
@@ -36,7 +37,6 @@
     relay_stream,
 )
 from siskinspoke.gateway.reservations import Member, ReservationRefused, reserved
-from siskinspoke.gateway.sending import check_hold
 from siskinspoke.gateway.servers import (
     cell_candidates,
     choose_service,
@@ -193,7 +193,7 @@
 
 
 def _book(gateway: Gateway, assignment: Assignment) -> PlannedAttempt:
-    """Enter the work into the books before it is sent, so that no other request takes its place.
+    """Enter the work into the work table before it is sent; no other request may take its place.
 
     Every entry must be ended by the caller.
     """
--- a/siskinspoke/gateway/upstream.py
+++ b/siskinspoke/gateway/upstream.py
@@ -5,12 +5,12 @@
 import trio
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
 from siskinspoke.gateway.attempts import RECHECK_SECONDS, Attempt
 from siskinspoke.gateway.context import Gateway, now_ms
-from siskinspoke.gateway.reaching import connect_to
+from siskinspoke.gateway.holds import Hold, check_hold
+from siskinspoke.gateway.reachability import connect_to
 from siskinspoke.gateway.restrictions import apply_restrictions
-from siskinspoke.gateway.sending import Hold, check_hold
 from siskinspoke.gateway.wire import Answer, Dispatch
 from siskinspoke.transport.http1 import PeerError, RequestHead, ServerConnection
 
--- a/siskinspoke/gateway/wire.py
+++ b/siskinspoke/gateway/wire.py
@@ -6,7 +6,7 @@
 
 from siskinspoke.coordination.routes import RouteTable
 from siskinspoke.core.codes import Failure
-from siskinspoke.transport.http1 import ResponseHead, Headers, RequestHead
+from siskinspoke.transport.http1 import Headers, RequestHead, ResponseHead
 
 
 class Prompt(NamedTuple):
--- a/siskinspoke/management/commands/apply.py
+++ b/siskinspoke/management/commands/apply.py
@@ -10,7 +10,7 @@
 from absl import flags
 
 from siskinspoke.conf import settings_from
-from siskinspoke.coordination.machine import ConfigureRequest
+from siskinspoke.coordination.state_machine import ConfigureRequest
 from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 from siskinspoke.management.base import emit, fail
 from siskinspoke.management.operators import OperatorClient
--- a/siskinspoke/platform/calls.py
+++ b/siskinspoke/platform/calls.py
@@ -16,7 +16,7 @@
 )
 from siskinspoke.platform import configuration, names, orders
 from siskinspoke.protocol.decimals import parse_decimal
-from siskinspoke.transport.http1 import ResponseHead, Headers, RequestHead
+from siskinspoke.transport.http1 import Headers, RequestHead, ResponseHead
 
 NEVER_RAN_STATUSES = frozenset({421})
 MISDIRECTED_STATUS = 421
--- a/siskinspoke/platform/control_app.py
+++ b/siskinspoke/platform/control_app.py
@@ -163,7 +163,9 @@
         registry = self._registry
         decoded = announcement_from(server, body)
         failure = (
-            decoded.error if decoded.is_error() else registry.find_fault(decoded.ok, self._services())
+            decoded.error
+            if decoded.is_error()
+            else registry.find_fault(decoded.ok, self._services())
         )
         if failure is not None:
             registry.record_refusal(server, failure)
--- a/siskinspoke/state/server_file.py
+++ b/siskinspoke/state/server_file.py
@@ -10,7 +10,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from siskinspoke.coordination.vetting import announcement_fault
+from siskinspoke.coordination.announcement_checks import announcement_fault
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.state.files import read_verified, write_atomically
--- a/siskinspoke/transport/calls.py
+++ b/siskinspoke/transport/calls.py
@@ -48,7 +48,11 @@
 
 
 async def serve_calls(
-    handle: CallHandler, limits: BodyLimits, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
+    handle: CallHandler,
+    limits: BodyLimits,
+    host: str,
+    port: int,
+    task_status=trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve calls until cancelled."""
 
@@ -74,7 +78,9 @@
     )
 
 
-async def _serve_call(handle: CallHandler, limits: BodyLimits, connection: ClientConnection) -> bool:
+async def _serve_call(
+    handle: CallHandler, limits: BodyLimits, connection: ClientConnection
+) -> bool:
     """Answer one call; return False if the connection must be closed."""
     received = False
     with trio.move_on_after(IDLE_TIMEOUT_SECONDS):
--- a/tests/control/slow_group.py
+++ b/tests/control/slow_group.py
@@ -9,9 +9,9 @@
 
 from siskinspoke.control.replica_report import ReplicaReport
 from siskinspoke.control.replica_task import ReplicaTask
-from siskinspoke.coordination.machine import PUBLISH, PublishRequest
 from siskinspoke.coordination.replica import Replica
 from siskinspoke.coordination.replica_types import JoinGroup, Times
+from siskinspoke.coordination.state_machine import PUBLISH, PublishRequest
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol.replication import (
     Admitted,
--- a/tests/control/test_feed_hub.py
+++ b/tests/control/test_feed_hub.py
@@ -5,7 +5,7 @@
 import trio
 from trio.testing import MockClock
 
-from siskinspoke.control.feed_hub import PUBLICATION_STAGGER_SECONDS, FeedHub, ConfigurationVersion
+from siskinspoke.control.feed_hub import PUBLICATION_STAGGER_SECONDS, ConfigurationVersion, FeedHub
 from siskinspoke.coordination.cells import MAX_CELL_VMS
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.watchers import rendezvous_order
@@ -239,7 +239,14 @@
     def make_hub(self) -> tuple[FeedHub, RecordingSession]:
         """Return a hub with one follower."""
         hub = FeedHub(
-            HUBS[0], "a", Directory(4_800), lambda: HUBS, lambda: None, b"k", Counters(), NullDecisionLog()
+            HUBS[0],
+            "a",
+            Directory(4_800),
+            lambda: HUBS,
+            lambda: None,
+            b"k",
+            Counters(),
+            NullDecisionLog(),
         )
         session = RecordingSession("g1", 9, "a")
         hub._sessions = {session}
--- a/tests/control/test_publishes.py
+++ b/tests/control/test_publishes.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from siskinspoke.coordination.machine import PUBLISH, PublishRequest
+from siskinspoke.coordination.state_machine import PUBLISH, PublishRequest
 from siskinspoke.protocol.replication import Committed
 from tests.control.slow_group import SlowGroup, run_slow_group
 
--- a/tests/coordination/test_vetting.py
+++ b/tests/coordination/test_announcement_checks.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinspoke.bench.slopes import announcement
-from siskinspoke.coordination.vetting import AnnouncementFault, announcement_fault
+from siskinspoke.coordination.announcement_checks import AnnouncementFault, announcement_fault
 
 VALID = announcement(1, 5, "sala-a")._replace(host="10.0.0.9", port=80)
 SERVICES = {VALID.service}
--- a/tests/coordination/test_crash_watch.py
+++ b/tests/coordination/test_crash_watch.py
@@ -29,7 +29,9 @@
         self._pending: list[tuple[int, CrashNews]] = []
         self.watches = [
             CrashWatch(
-                lambda news, number=number: self._broadcast(number, news), Counters(), NullDecisionLog()
+                lambda news, number=number: self._broadcast(number, news),
+                Counters(),
+                NullDecisionLog(),
             )
             for number in range(count)
         ]
--- a/tests/coordination/test_left_out.py
+++ b/tests/coordination/test_excluded_servers.py
@@ -2,7 +2,7 @@
 
 from siskinspoke.bench.slopes import announcement
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.left_out import TEMPORARY_EXCLUSION_MS, ExcludedServers
+from siskinspoke.coordination.excluded_servers import TEMPORARY_EXCLUSION_MS, ExcludedServers
 
 
 class TestLeftOut:
--- a/tests/coordination/test_foresight.py
+++ b/tests/coordination/test_first_token_margin.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from siskinspoke.coordination.foresight import (
+from siskinspoke.coordination.first_token_margin import (
     INITIAL_MARGIN_MS,
     MAX_MARGIN_MS,
     MIN_MARGIN_MS,
--- a/tests/coordination/test_fullness.py
+++ b/tests/coordination/test_no_room_cache.py
@@ -1,6 +1,6 @@
 """Tests for the cache of searches that found no room."""
 
-from siskinspoke.coordination.fullness import NO_ROOM_TTL_MS, NoRoomCache, RoomSearch
+from siskinspoke.coordination.no_room_cache import NO_ROOM_TTL_MS, NoRoomCache, RoomSearch
 
 SEARCH = RoomSearch("m", frozenset({"one"}), False)
 
--- a/tests/coordination/test_placement.py
+++ b/tests/coordination/test_placement.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from siskinspoke.coordination.books import Job, Work, WorkTable
-from siskinspoke.coordination.passes import DecodingStream, pass_ms, prefill_ms
+from siskinspoke.coordination.cost_model import DecodingStream, pass_ms, prefill_ms
 from siskinspoke.coordination.placement import Candidate, Placement
 from siskinspoke.coordination.routes import EngineCosts
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 
 COSTS = EngineCosts(8, 315_000, 51, 0.85, 0.0085, 0.00285, 177.0, 0.184)
 SHORT = Job(5_000, 900, 300, 250)
--- a/tests/coordination/test_second_tries.py
+++ b/tests/coordination/test_retry_timing.py
@@ -1,6 +1,6 @@
 """Tests for retrying a prompt elsewhere when its first token is late."""
 
-from siskinspoke.coordination.second_tries import RetryDecision, decide_retry, first_check_after_ms
+from siskinspoke.coordination.retry_timing import RetryDecision, decide_retry, first_check_after_ms
 
 TARGET_MS = 300.0
 MARGIN_MS = 30.0
--- a/tests/coordination/test_standing.py
+++ b/tests/coordination/test_server_health.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinspoke.coordination.retries import SharedRetryBudget
-from siskinspoke.coordination.standing import MAX_EJECTION_MS, FailureKind, ServerHealth
+from siskinspoke.coordination.server_health import MAX_EJECTION_MS, FailureKind, ServerHealth
 
 
 class TestEjection:
--- a/tests/coordination/test_moving.py
+++ b/tests/coordination/test_stream_moves.py
@@ -1,9 +1,9 @@
 """Tests for moving a stream off an engine that is about to prefill a long prompt."""
 
-from siskinspoke.coordination.books import Job, Work, WorkTable
-from siskinspoke.coordination.moving import PauseForecast, should_move
 from siskinspoke.coordination.placement import Placement
 from siskinspoke.coordination.routes import EngineCosts
+from siskinspoke.coordination.stream_moves import PauseForecast, should_move
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 
 COSTS = EngineCosts(
     slots=8,
--- a/tests/core/test_standstill.py
+++ b/tests/core/test_stall_detector.py
@@ -7,7 +7,7 @@
     MIN_MARGIN_SECONDS,
     margin_seconds,
 )
-from siskinspoke.core.standstill import (
+from siskinspoke.core.stall_detector import (
     LATENESS_HALF_LIFE_SECONDS,
     READ_DELAY_SECONDS,
     TICK_SECONDS,
--- a/tests/entry/test_delivery.py
+++ b/tests/entry/test_delivery.py
@@ -6,7 +6,7 @@
 import trio
 
 from siskinspoke.core.counters import Counters
-from siskinspoke.core.standstill import StallDetector
+from siskinspoke.core.stall_detector import StallDetector
 from siskinspoke.entry.backend import Backend, Completed, Lost
 from siskinspoke.entry.completions import CompletionJob
 from siskinspoke.entry.requests import Completion
--- a/tests/entry/test_going_on.py
+++ b/tests/entry/test_interrupted_answers.py
@@ -13,7 +13,7 @@
 from siskinspoke.coordination.routing import Choice
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.core.counters import Counters
-from siskinspoke.core.standstill import StallDetector
+from siskinspoke.core.stall_detector import StallDetector
 from siskinspoke.entry.backend import Completed, Lost
 from siskinspoke.entry.completions import CompletionJob
 from siskinspoke.entry.requests import Caller, Completion
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -23,7 +23,13 @@
     """Return the feeds of an entry VM that knows one seed."""
     handlers = FeedHandlers(print, print, print, print, lambda: 0)
     return FeedClients(
-        FollowerIdentity("entry-1", "10.0.0.1", 9), ("10.0.0.2",), 8, b"k", handlers, Counters(), NullDecisionLog()
+        FollowerIdentity("entry-1", "10.0.0.1", 9),
+        ("10.0.0.2",),
+        8,
+        b"k",
+        handlers,
+        Counters(),
+        NullDecisionLog(),
     )
 
 
--- a/tests/gateway/test_cells.py
+++ b/tests/gateway/test_cells.py
@@ -7,19 +7,19 @@
 import trio.testing
 
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import Job, Work, WorkTable
+from siskinspoke.coordination.cell_offers import lacks_room
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.domains import DomainMonitor
 from siskinspoke.coordination.placement import Place
 from siskinspoke.coordination.rate_limits import RateLimits
 from siskinspoke.coordination.retries import SharedRetryBudget
-from siskinspoke.coordination.standing import FailureKind, ServerHealth
-from siskinspoke.coordination.widening import lacks_room
+from siskinspoke.coordination.server_health import FailureKind, ServerHealth
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.peers import Peers
-from siskinspoke.gateway.questions import Queries
-from siskinspoke.gateway.widening import request_remote_place
+from siskinspoke.gateway.queries import Queries
+from siskinspoke.gateway.remote_placement import request_remote_place
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion, RateLimitNews, WorkNews
@@ -70,11 +70,11 @@
         self.sent.append((item, [(host, port)]))
 
 
-def peers_of(fleet: Fleet, books: WorkTable) -> Peers:
+def peers_of(fleet: Fleet, work_table: WorkTable) -> Peers:
     return Peers(
         "10.0.0.0",
         "a",
-        books,
+        work_table,
         SharedRetryBudget(0.2, 100),
         DomainMonitor(),
         fleet.cells,
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -2,14 +2,14 @@
 
 import trio
 
-from siskinspoke.coordination.books import Job, Work, WorkTable
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.coordination.domains import DomainMonitor
 from siskinspoke.coordination.retries import SharedRetryBudget
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.peers import PEER_TIMEOUT_MS, Peers
-from siskinspoke.gateway.questions import Queries
+from siskinspoke.gateway.queries import Queries
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import WorkBegan, WorkNews
@@ -30,17 +30,19 @@
         )
         directory.apply(announcement, 0)
     known = [EntryPeer(other, PORT, "a") for other in others]
-    return CellView(EntryPeer(host, PORT, "a"), directory, lambda: known, lambda: 0, NullDecisionLog())
+    return CellView(
+        EntryPeer(host, PORT, "a"), directory, lambda: known, lambda: 0, NullDecisionLog()
+    )
 
 
-def peers(host: str, books: WorkTable, domains: DomainMonitor | None = None) -> Peers:
+def peers(host: str, work_table: WorkTable, domains: DomainMonitor | None = None) -> Peers:
     """Return the peers of a VM that has no other VMs to send to."""
     budget = SharedRetryBudget(0.2, 100)
     domains = domains or DomainMonitor()
     return Peers(
         host,
         "a",
-        books,
+        work_table,
         budget,
         domains,
         cell_view(host, []),
@@ -61,52 +63,52 @@
     """If the updates on finished work are lost, engines must not appear busy for 20 s."""
 
     def run(self, scenario):
-        books = WorkTable()
+        work_table = WorkTable()
 
         async def main():
-            await scenario(peers("10.0.0.1", books), books)
+            await scenario(peers("10.0.0.1", work_table), work_table)
 
         trio.run(main)
 
     def test_work_of_restarted_vm_is_dropped(self):
         """A VM is killed with open work; it is back a second later and reports new work."""
 
-        async def scenario(mine, books):
+        async def scenario(mine, work_table):
             await mine._handle(work_began("10.0.0.2", "a", 1))
             await mine._handle(work_began("10.0.0.2", "a", 2))
             await mine._handle(work_began("10.0.0.2", "b", 1))
-            assert books.work_count == 1
+            assert work_table.work_count == 1
 
         self.run(scenario)
 
     def test_work_of_partitioned_vm_is_dropped(self):
         """A failure domain is partitioned; updates on finished work no longer arrive."""
 
-        async def scenario(mine, books):
+        async def scenario(mine, work_table):
             await mine._handle(work_began("10.0.0.2", "a", 1))
             await mine._handle(work_began("10.0.0.3", "a", 1))
             now = trio.current_time() * 1000
             mine.expire_peers(now + PEER_TIMEOUT_MS - 100)
-            assert books.work_count == 2
+            assert work_table.work_count == 2
             mine.expire_peers(now + PEER_TIMEOUT_MS + 100)
-            assert books.work_count == 0
+            assert work_table.work_count == 0
 
         self.run(scenario)
 
     def test_own_work_is_kept(self):
-        async def scenario(mine, books):
+        async def scenario(mine, work_table):
             mine.begin_work(Work(JOB, ("e1",), 0.0))
             mine.expire_peers(trio.current_time() * 1000 + 60_000)
-            assert books.work_count == 1
+            assert work_table.work_count == 1
 
         self.run(scenario)
 
     def test_work_of_vm_that_sends_updates_is_kept(self):
-        async def scenario(mine, books):
+        async def scenario(mine, work_table):
             await mine._handle(work_began("10.0.0.2", "a", 1))
             await mine._handle(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
             mine.expire_peers(trio.current_time() * 1000 + 100)
-            assert books.work_count == 1
+            assert work_table.work_count == 1
 
         self.run(scenario)
 
@@ -116,18 +118,18 @@
 
     def test_begin_and_end_reach_other_vm(self):
         """Two VMs exchange updates by datagram: first work begins, then it ends."""
-        books = {host: WorkTable() for host in ("127.0.0.1", "127.0.0.2")}
+        tables = {host: WorkTable() for host in ("127.0.0.1", "127.0.0.2")}
 
         async def main():
             async with trio.open_nursery() as nursery:
                 running = {}
-                for host in books:
+                for host in tables:
                     port = await open_datagram_port(host, PORT, b"k", Counters())
-                    others = [other for other in books if other != host]
+                    others = [other for other in tables if other != host]
                     running[host] = Peers(
                         host,
                         "a",
-                        books[host],
+                        tables[host],
                         SharedRetryBudget(0.2, 100),
                         DomainMonitor(),
                         cell_view(host, others),
@@ -138,12 +140,12 @@
                     )
                     nursery.start_soon(running[host].run, port)
                 number = running["127.0.0.1"].begin_work(Work(JOB, ("e1",), 0.0))
-                await until(lambda: books["127.0.0.2"].work_count == 1)
+                await until(lambda: tables["127.0.0.2"].work_count == 1)
                 running["127.0.0.1"].mark_first_token(number)
                 running["127.0.0.1"].end_work(number)
                 running["127.0.0.1"].update_pace("e2", 3.0)
-                await until(lambda: books["127.0.0.2"].work_count == 0)
-                await until(lambda: books["127.0.0.2"].engine("e2").slowdown == 3.0)
+                await until(lambda: tables["127.0.0.2"].work_count == 0)
+                await until(lambda: tables["127.0.0.2"].engine("e2").slowdown == 3.0)
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -1,6 +1,6 @@
 """Tests for the selection of the VM that polls an engine, and of the engines polled."""
 
-from siskinspoke.coordination.books import Job, Work, WorkTable
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 from siskinspoke.gateway.reports import PollAssignment, is_poller, needs_polling
 
 HOSTS = [f"10.0.0.{number}" for number in range(7)]
@@ -36,13 +36,13 @@
     """Most engines of a large fleet are idle, and polling them costs connections."""
 
     def test_idle_engines_are_not_polled(self):
-        books = WorkTable()
-        assert not needs_polling(books, "e1")
-        books.add("w", Work(Job(5_000, 900, 300, 250), ("e1",), 0.0))
-        assert needs_polling(books, "e1")
+        work_table = WorkTable()
+        assert not needs_polling(work_table, "e1")
+        work_table.add("w", Work(Job(5_000, 900, 300, 250), ("e1",), 0.0))
+        assert needs_polling(work_table, "e1")
 
     def test_slow_engines_are_polled_until_recovered(self):
         """A slow engine that has lost its work would be considered slow forever if not polled."""
-        books = WorkTable()
-        books.engine("e1").slowdown = 5.0
-        assert needs_polling(books, "e1")
+        work_table = WorkTable()
+        work_table.engine("e1").slowdown = 5.0
+        assert needs_polling(work_table, "e1")
--- a/tests/platform/fleet.py
+++ b/tests/platform/fleet.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from siskinspoke.control.feed_hub import FeedHub, ConfigurationVersion
+from siskinspoke.control.feed_hub import ConfigurationVersion, FeedHub
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
--- a/tests/platform/test_back_off.py
+++ b/tests/platform/test_back_off.py
@@ -5,7 +5,7 @@
 
 from siskinspoke.gateway import reports
 from siskinspoke.gateway.context import now_ms
-from siskinspoke.gateway.sending import BACK_OFF, find_hold
+from siskinspoke.gateway.holds import BACK_OFF, find_hold
 from tests.platform.site import Site, gateway_site, servers
 from tests.platform.standin_server import Events, Refuse, StandinServer, Whole
 from tests.platform.test_rate_limits import retry_after
--- a/tests/platform/test_next_step.py
+++ b/tests/platform/test_failover.py
@@ -8,10 +8,10 @@
 import pytest
 import trio
 
-from siskinspoke.coordination.books import Job, Work
-from siskinspoke.coordination.fullness import NO_ROOM_TTL_MS
-from siskinspoke.coordination.standing import FailureKind
-from siskinspoke.gateway import reaching
+from siskinspoke.coordination.no_room_cache import NO_ROOM_TTL_MS
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.coordination.work_table import Job, Work
+from siskinspoke.gateway import reachability
 from siskinspoke.gateway.context import now_ms
 from tests.platform.site import gateway_site, late_server, request_bytes, servers, until
 from tests.platform.standin_server import Close, Events, Refuse, Whole
@@ -34,7 +34,7 @@
 
 
 def fill(site, name: str, streams: int = 12) -> None:
-    """Enter so many streams at an engine into the books; 12 are its maximum."""
+    """Enter so many streams at an engine into the work table; 12 are its maximum."""
     for _ in range(streams):
         site.gateway.peers.begin_work(Work(Job(1_000, 200, 300, 250), (name,), now_ms(), ()))
 
@@ -69,7 +69,7 @@
                 script = deque([Refuse(), Events(last=3, begin_after=0.9)])
                 for server in both:
                     server.script = script
-                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
                 answer = await site.ask("/stream/x", **PROMPT)
                 assert answer.status == 200
                 assert data_of(answer.body) == whole_stream(3)
@@ -79,7 +79,7 @@
 
     @pytest.mark.parametrize("vms", [1, 30])
     def test_all_others_full(self, tmp_path, vms):
-        """By the books the other engine is full; with more than 24 VMs there are cells."""
+        """By the work table the other engine is full; with more than 24 VMs there are cells."""
 
         async def run():
             script = [PAUSED]
@@ -135,7 +135,9 @@
                         leave_one_retry(site)
                     else:
                         fill(site, other.name, 11)
-                    reaching.mark_unreachable(site.gateway, site.gateway.directory.latest(one.name))
+                    reachability.mark_unreachable(
+                        site.gateway, site.gateway.directory.latest(one.name)
+                    )
                 assert [answer.status for answer in answers] == [200] * 3
                 assert len(other.seen) == 1
 
--- a/tests/platform/test_false_crashes.py
+++ b/tests/platform/test_false_crashes.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from siskinspoke.gateway import reaching
+from siskinspoke.gateway import reachability
 from tests.platform.site import gateway_site, servers, until
 from tests.platform.standin_server import Events
 from tests.platform.test_silence import whole_stream
@@ -19,8 +19,8 @@
     def __init__(self, monkeypatch):
         self.refuses: set[int] | None = set()
         self.hanging_attempts = 0
-        self._connect = reaching.connect
-        monkeypatch.setattr(reaching, "connect", self._open)
+        self._connect = reachability.connect
+        monkeypatch.setattr(reachability, "connect", self._open)
 
     async def _open(self, host, port, *more):
         if self.refuses is None or port in self.refuses:
@@ -55,7 +55,7 @@
                     await until(lambda: any(server.seen for server in running))
                     firewall.refuses = None
                     await until(lambda: site.gateway.counters.totals.get("crash.doubted"))
-                    assert site.gateway.domains.cut_off(reaching.now_ms())
+                    assert site.gateway.domains.cut_off(reachability.now_ms())
                     await trio.sleep(PARTITION_SECONDS)
                     assert crashed_servers(site) == []
                     firewall.refuses = set()
--- a/tests/platform/test_lost_servers.py
+++ b/tests/platform/test_lost_servers.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from siskinspoke.coordination.standing import FailureKind
-from siskinspoke.gateway import reaching
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.gateway import reachability
 from siskinspoke.gateway.context import now_ms
 from tests.platform.site import gateway_site, servers, until
 from tests.platform.standin_server import Events, Silent
@@ -20,8 +20,8 @@
 
     def __init__(self, monkeypatch):
         self.dark: set[int] = set()
-        self._connect = reaching.connect
-        monkeypatch.setattr(reaching, "connect", self._open)
+        self._connect = reachability.connect
+        monkeypatch.setattr(reachability, "connect", self._open)
 
     async def _open(self, host, port, *more):
         while port in self.dark:
@@ -38,7 +38,7 @@
     """Send a request, run ``happen``, and return the answer and how long it took."""
     began = trio.current_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+        nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
         async with site.request_in_background(path, **headers) as answers:
             await happen()
             await until(lambda: answers)
@@ -221,7 +221,7 @@
 
                 async def happen():
                     await until(lambda: one.seen)
-                    monkeypatch.setattr(reaching, "connect", refuse)
+                    monkeypatch.setattr(reachability, "connect", refuse)
                     site.announce(two, "engines", started=5)
 
                 answer, _ = await ask_while(site, "/stream/x", happen, **PROMPT)
@@ -243,7 +243,7 @@
                 servers(site, "engines", [Events()], [Events()]) as (one, two),
             ):
                 network.dark.add(one.port)
-                reaching.handle_loss_report(site.gateway, one.name)
+                reachability.handle_loss_report(site.gateway, one.name)
                 await until(lambda: site.gateway.server_health.is_unreachable(one.name))
                 for _ in range(3):
                     assert (await site.ask("/stream/x", **PROMPT)).whole
@@ -261,7 +261,7 @@
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", [Events()]) as (one,),
             ):
-                reaching.handle_loss_report(site.gateway, one.name)
+                reachability.handle_loss_report(site.gateway, one.name)
                 await until(lambda: one.connections)
                 assert not site.gateway.server_health.is_ejected(one.name, now_ms())
 
@@ -279,11 +279,11 @@
                 servers(site, "engines", [Events()]) as (one,),
             ):
                 network.dark.add(one.port)
-                reaching.handle_loss_report(site.gateway, one.name)
+                reachability.handle_loss_report(site.gateway, one.name)
                 await until(lambda: site.gateway.server_health.is_unreachable(one.name))
                 network.dark.clear()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(reaching.probe_unreachable_forever, site.gateway)
+                    nursery.start_soon(reachability.probe_unreachable_forever, site.gateway)
                     await until(lambda: not site.gateway.server_health.is_unreachable(one.name))
                     nursery.cancel_scope.cancel()
                 assert one.seen == []
@@ -305,12 +305,12 @@
             ):
                 record = site.gateway.directory.latest(one.name)
                 network.dark.add(one.port)
-                await reaching.probe(site.gateway, record)
+                await reachability.probe(site.gateway, record)
                 with trio.move_on_after(0.02):
-                    await reaching.connect_to(site.gateway, record)
+                    await reachability.connect_to(site.gateway, record)
                 network.dark.clear()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(reaching.probe_unreachable_forever, site.gateway)
+                    nursery.start_soon(reachability.probe_unreachable_forever, site.gateway)
                     await until(lambda: not site.gateway.server_health.is_unreachable(one.name))
                     nursery.cancel_scope.cancel()
 
@@ -328,11 +328,11 @@
             tries.append(trio.current_time())
             if len(tries) == 1:
                 time.sleep(0.1)
-                return reaching.NoConnection.SILENT
+                return reachability.NoConnection.SILENT
             return "connection"
 
         async def run():
-            monkeypatch.setattr(reaching, "_race", race)
+            monkeypatch.setattr(reachability, "_race", race)
             async with (
                 gateway_site(tmp_path) as site,
                 servers(site, "engines", [Events()]) as (one,),
@@ -340,6 +340,6 @@
                 record = site.gateway.directory.latest(one.name)
                 for _ in range(20):
                     site.gateway.connect_timeout.record(4.0)
-                assert await reaching.open_connection(site.gateway, record) == "connection"
+                assert await reachability.open_connection(site.gateway, record) == "connection"
 
         trio.run(run)
--- a/tests/platform/test_moving.py
+++ b/tests/platform/test_moving.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from siskinspoke.gateway import reaching
+from siskinspoke.gateway import reachability
 from siskinspoke.gateway.attempts import MOVED
 from siskinspoke.protocol.peers import WorkBegan, WorkNews
 from tests.platform.site import gateway_site, servers, until
@@ -34,7 +34,7 @@
                 servers(site, "engines", [Events()], [Events()]) as both,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
                 for server in both:
                     server.script = script
                 async with site.request_in_background("/stream/x", **PROMPT) as answers:
@@ -60,7 +60,7 @@
                 servers(site, "engines", [READS]) as (one,),
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
                 async with site.request_in_background(
                     "/stream/x", Deadline_Ms="5000", **PROMPT
                 ) as answers:
--- a/tests/platform/test_taken_steps.py
+++ b/tests/platform/test_planned_failover.py
@@ -5,12 +5,12 @@
 import pytest
 import trio
 
-from siskinspoke.gateway import reaching, upstream
+from siskinspoke.gateway import reachability, upstream
 from siskinspoke.transport.http1 import ClientConnection
 from tests.platform.site import gateway_site, late_server, servers, until
 from tests.platform.standin_server import Close, Events, Refuse, Silent, Whole
+from tests.platform.test_failover import fill
 from tests.platform.test_lost_servers import Network
-from tests.platform.test_next_step import fill
 from tests.platform.test_silence import whole_stream
 from tests.platform.test_streams import PROMPT, data_of
 
@@ -80,8 +80,8 @@
                 script = deque([Refuse(), Events(last=2, then="silent"), Events(last=4)])
                 for server in both:
                     server.script = script
-                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
-                nursery.start_soon(reaching.probe_unreachable_forever, site.gateway)
+                nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reachability.probe_unreachable_forever, site.gateway)
                 async with site.request_in_background(
                     "/stream/x", Deadline_Ms="5000", **PROMPT
                 ) as answers:
@@ -188,7 +188,7 @@
 
 
 class TestReservedRetry:
-    """Retries and book entries of a failover that is no retry, or that does not take place."""
+    """Retries and work table entries if a failover is no retry, or does not take place."""
 
     @pytest.mark.parametrize("path", ["/stream/x", "/again/x"])
     def test_first_attempt_is_no_retry(self, tmp_path, monkeypatch, path):
@@ -307,7 +307,7 @@
                         await until(lambda: one.seen)
                         await trio.sleep(0.1)
                         other = await late_server(site, Events(last=12))
-                        reaching.mark_unreachable(
+                        reachability.mark_unreachable(
                             site.gateway, site.gateway.directory.latest(one.name)
                         )
                         await trio.sleep(1.0)
--- a/tests/platform/test_restarted_servers.py
+++ b/tests/platform/test_restarted_servers.py
@@ -2,8 +2,8 @@
 
 import trio
 
-from siskinspoke.coordination.books import Job, Work
-from siskinspoke.coordination.standing import FailureKind
+from siskinspoke.coordination.server_health import FailureKind
+from siskinspoke.coordination.work_table import Job, Work
 from siskinspoke.gateway.context import now_ms
 from siskinspoke.gateway.reservations import Reservation, _release, _renew_forever
 from tests.platform.site import gateway_site, servers, until
--- a/tests/platform/test_silence.py
+++ b/tests/platform/test_silence.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from siskinspoke.gateway import reaching
+from siskinspoke.gateway import reachability
 from siskinspoke.gateway.context import now_ms
 from tests.platform.site import gateway_site, late_server, servers, until
 from tests.platform.standin_server import Close, Events, Whole
@@ -130,7 +130,7 @@
         async def run():
             network = Network(monkeypatch)
             async with gateway_site(tmp_path) as site, trio.open_nursery() as nursery:
-                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
                 async with servers(site, "engines", [PAUSED]) as (one,):
                     network.dark.add(one.port)
                     site.gateway.pool.put(
@@ -270,7 +270,7 @@
                 servers(site, "engines", script, script) as both,
                 trio.open_nursery() as nursery,
             ):
-                nursery.start_soon(reaching.probe_overdue_forever, site.gateway)
+                nursery.start_soon(reachability.probe_overdue_forever, site.gateway)
                 spend_budget(site)
                 answer = await site.ask("/stream/x", **PROMPT)
                 assert data_of(answer.body) == whole_stream(3)
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from siskinspoke.coordination.books import Job, Work
+from siskinspoke.coordination.work_table import Job, Work
 from siskinspoke.gateway.context import now_ms
 from tests.platform.site import (
     gateway_site,
