--- a/siskinspoke/control/registry.py
+++ b/siskinspoke/control/registry.py
@@ -1,41 +1,41 @@
 """The registry of a control VM: announcements of backend servers, and the configuration.
 
-It answers for two promises.  A leave is confirmed only after those VMs that can hear of it
-have; a configuration is accepted only once a majority has it on disk, and is read only by
-who knows that there is no newer one.
+It gives two guarantees. A leave is confirmed only after all VMs that can be reached have
+received it. A configuration is accepted only once a majority has it on disk, and is read only from
+a replica that knows that there is no newer one.
 """
 
 import math
 from collections.abc import Set
 from typing import NamedTuple
 
-from siskinspoke.control.feed_hub import FeedHub, Held
+from siskinspoke.control.feed_hub import ConfigurationVersion, FeedHub
 from siskinspoke.control.replica_task import ReplicaTask, now_ms
-from siskinspoke.coordination.directory import Directory, Heard
-from siskinspoke.coordination.machine import PUBLISH, PublishRequest
-from siskinspoke.coordination.vetting import fault_of
+from siskinspoke.coordination.announcement_checks import announcement_fault
+from siskinspoke.coordination.directory import AnnouncementEffect, Directory
+from siskinspoke.coordination.state_machine import PUBLISH, PublishRequest
 from siskinspoke.core.codes import Failure, ResultCode
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.protocol.announcements import Announcement
 
-# A caller tries another VM after a second without an answer; these leave it room.
-LEAVE_SECONDS = 0.4
-PUBLISH_SECONDS = 0.9
-READ_SECONDS = 0.7
-# Another program may announce without end; one line in this time, in milliseconds, is enough.
-REFUSED_EVERY_MS = 1_000.0
+# Clients try another VM after 1 s without an answer, so these timeouts are shorter.
+LEAVE_TIMEOUT_SECONDS = 0.4
+PUBLISH_TIMEOUT_SECONDS = 0.9
+READ_TIMEOUT_SECONDS = 0.7
+# Minimum interval between log lines for refused announcements, which may arrive without end.
+REFUSED_LOG_INTERVAL_MS = 1_000.0
 
 
-class Published(NamedTuple):
-    """Whether a configuration is accepted; ``version`` is the one in force."""
+class PublishResult(NamedTuple):
+    """The result of a publish: whether it is known to be accepted, and the version in force."""
 
-    known: bool
+    accepted: bool
     version: int
 
 
 class Registry:
-    """Take in announcements and configurations, and tell the followers."""
+    """Process announcements and configurations and send the changes to followers."""
 
     def __init__(self, directory: Directory, counters: Counters, log: DecisionLog):
         self._directory = directory
@@ -43,99 +43,101 @@
         self._log = log
         self._hub: FeedHub | None = None
         self._task: ReplicaTask | None = None
-        self._refused_at = -math.inf
+        self._refusal_logged_at = -math.inf
 
-    def attach(self, hub: FeedHub) -> None:
-        """Connect the hub that tells the followers."""
+    def set_hub(self, hub: FeedHub) -> None:
+        """Set the hub that sends changes to followers."""
         self._hub = hub
 
-    def serve_with(self, task: ReplicaTask | None) -> None:
-        """Take the replica whose disk works now, or none."""
+    def set_replica(self, task: ReplicaTask | None) -> None:
+        """Set the running replica, or None while there is none."""
         self._task = task
 
     @property
-    def held(self) -> Held:
+    def configuration(self) -> ConfigurationVersion:
         """Return the configuration that this replica has applied."""
         if self._task is None:
-            return Held(0, None)
+            return ConfigurationVersion(0, None)
         machine = self._task.machine
-        return Held(machine.version, machine.document)
+        return ConfigurationVersion(machine.version, machine.document)
 
-    def known(self, server: str) -> Announcement | None:
+    def last_announcement(self, server: str) -> Announcement | None:
         """Return the last announcement of a server."""
         record = self._directory.latest(server)
         return record.announcement if record is not None else None
 
-    def fault_of(self, announcement: Announcement, services: Set[str] | None) -> Failure | None:
-        """Return why an announcement is not believed; ``services`` are those in force, if any."""
-        known = self.known(announcement.server)
-        fault = fault_of(announcement, known, services)
+    def find_fault(self, announcement: Announcement, services: Set[str] | None) -> Failure | None:
+        """Return why an announcement is refused, or None; ``services`` are those in force."""
+        known = self.last_announcement(announcement.server)
+        fault = announcement_fault(announcement, known, services)
         return None if fault is None else Failure(ResultCode.INVALID_FIELD, fault.value)
 
-    def refuse(self, server: str, fault: Failure) -> None:
-        """Count a word that names no server, and write down some of them."""
+    def record_refusal(self, server: str, fault: Failure) -> None:
+        """Count a refused announcement and log it, subject to a rate limit."""
         self._counters.count("announcement.refused")
         now = now_ms()
-        if now - self._refused_at < REFUSED_EVERY_MS:
+        if now - self._refusal_logged_at < REFUSED_LOG_INTERVAL_MS:
             return
-        self._refused_at = now
+        self._refusal_logged_at = now
         self._log.note("server.refused", server=server[:100], reason=fault.message[:300])
 
     async def announce(self, announcement: Announcement) -> bool:
-        """Take in one announcement; return whether it may be confirmed to its sender."""
-        heard = self._directory.hear(announcement, now_ms())
-        self._counters.count(f"announcement.{heard.value}")
+        """Process an announcement; return whether it may be confirmed to its sender."""
+        effect = self._directory.apply(announcement, now_ms())
+        self._counters.count(f"announcement.{effect.value}")
         if announcement.leaving:
-            return await self._spread_leave(announcement, heard)
-        if heard is Heard.JOINED:
-            self._note(announcement, heard)
-            self._hub.tell_soon([announcement])
-        elif heard is Heard.RENEWED:
-            self._hub.renew(announcement)
+            return await self._broadcast_leave(announcement, effect)
+        if effect is AnnouncementEffect.JOINED:
+            self._note(announcement, effect)
+            self._hub.queue_broadcast([announcement])
+        elif effect is AnnouncementEffect.RENEWED:
+            self._hub.queue_renewal(announcement)
         return True
 
-    async def _spread_leave(self, announcement: Announcement, heard: Heard) -> bool:
-        """Tell the followers of a leave, each time that it is said, and wait for them.
+    async def _broadcast_leave(
+        self, announcement: Announcement, effect: AnnouncementEffect
+    ) -> bool:
+        """Send a leave, also a repeated one, to all followers and wait for their receipts.
 
-        The server stops a bounded time after the confirmation.  If this VM died between the
-        two, a follower that had not heard would go on sending to a server that is gone.
+        The server stops within a bounded time after the confirmation. If this VM crashed in
+        between, a follower without the leave would keep sending to a stopped server.
         """
-        number = self._hub.tell([announcement])
-        missing = await self._hub.confirmed(number, LEAVE_SECONDS)
-        followers = self._hub.followers
-        self._note(announcement, heard, unconfirmed=missing, followers=followers)
-        return followers > missing
-
-    def hear_others(self, announcements: list[Announcement]) -> None:
-        """Take in what another control VM has heard, and pass on what is new."""
-        fresh, has_left = [], False
+        number = self._hub.broadcast([announcement])
+        unconfirmed = await self._hub.wait_until_confirmed(number, LEAVE_TIMEOUT_SECONDS)
+        followers = self._hub.follower_count
+        self._note(announcement, effect, unconfirmed=unconfirmed, followers=followers)
+        return followers > unconfirmed
+
+    def handle_remote_announcements(self, announcements: list[Announcement]) -> None:
+        """Process announcements received from another control VM and forward the new ones."""
+        new, has_left = [], False
         for announcement in announcements:
-            heard = self._directory.hear(announcement, now_ms())
-            if heard in (Heard.JOINED, Heard.LEFT):
-                self._note(announcement, heard)
-                fresh.append(announcement)
-                has_left = has_left or heard is Heard.LEFT
+            effect = self._directory.apply(announcement, now_ms())
+            if effect in (AnnouncementEffect.JOINED, AnnouncementEffect.LEFT):
+                self._note(announcement, effect)
+                new.append(announcement)
+                has_left = has_left or effect is AnnouncementEffect.LEFT
         if has_left:
-            self._hub.tell(fresh)
-        elif fresh:
-            self._hub.tell_soon(fresh)
+            self._hub.broadcast(new)
+        elif new:
+            self._hub.queue_broadcast(new)
 
-    def hear_remembered(self, announcements: list[Announcement]) -> None:
-        """Take in which servers a VM knew before its restart, and pass on what is new."""
+    def restore_servers(self, announcements: list[Announcement]) -> None:
+        """Restore servers that a VM knew before its restart and forward the new ones."""
         now = now_ms()
-        new = [item for item in announcements if self._directory.remember(item, now)]
+        new = [item for item in announcements if self._directory.restore(item, now)]
         self._log.note("servers.remembered", told=len(announcements), new=len(new))
         if new:
-            self._hub.recall(new)
+            self._hub.broadcast_restored(new)
 
-    def hear_renewals(self, items: list[tuple[str, int, int]]) -> None:
-        """Take in which servers another control VM has heard again."""
+    def handle_renewals(self, items: list[tuple[str, int, int]]) -> None:
+        """Renew the servers whose announcements another control VM has received."""
         for server, incarnation, seq in items:
             self._directory.renew(server, incarnation, seq, now_ms())
 
-    def _note(self, announcement: Announcement, heard: Heard, **more) -> None:
+    def _note(self, announcement: Announcement, effect: AnnouncementEffect, **more) -> None:
         self._log.note(
-            f"server.{heard.value}",
+            f"server.{effect.value}",
             server=announcement.server,
             service=announcement.service,
             address=f"{announcement.host}:{announcement.port}",
@@ -145,28 +147,30 @@
             **more,
         )
 
-    async def publish(self, version: int, document: dict) -> Published:
-        """Have a checked configuration accepted by a majority."""
+    async def publish(self, version: int, document: dict) -> PublishResult:
+        """Replicate a validated configuration and wait until a majority has it."""
         if self._task is None:
-            return Published(False, 0)
-        pending = await self._task.ask(PUBLISH, PublishRequest(version, document), PUBLISH_SECONDS)
-        known = pending.value is not None
-        self._counters.count("publish.accepted" if known else "publish.unknown")
+            return PublishResult(False, 0)
+        pending = await self._task.execute(
+            PUBLISH, PublishRequest(version, document), PUBLISH_TIMEOUT_SECONDS
+        )
+        accepted = pending.value is not None
+        self._counters.count("publish.accepted" if accepted else "publish.unknown")
         self._log.note(
             "configuration.publish",
             version=version,
-            known=known,
-            held=self.held.version,
+            known=accepted,
+            held=self.configuration.version,
             leader=self._task.replica.leader,
             role=self._task.replica.role.value,
             term=self._task.replica.term,
-            unheard_ms=round(now_ms() - self._task.replica.leader_heard_at),
+            unheard_ms=round(now_ms() - self._task.replica.last_leader_contact_at),
         )
-        return Published(known, self.held.version)
+        return PublishResult(accepted, self.configuration.version)
 
-    async def read(self) -> Held | None:
-        """Return the newest configuration, or None where this VM cannot be sure."""
-        if self._task is None or not await self._task.read_newest(READ_SECONDS):
+    async def read(self) -> ConfigurationVersion | None:
+        """Return the newest configuration, or None if this VM cannot confirm that it is."""
+        if self._task is None or not await self._task.wait_until_readable(READ_TIMEOUT_SECONDS):
             self._counters.count("read.unsure")
             return None
-        return self.held
+        return self.configuration
--- a/siskinspoke/control/replica_events.py
+++ b/siskinspoke/control/replica_events.py
@@ -8,35 +8,35 @@
 
 
 @dataclass
-class Pending:
-    """An answer to come; None means that its fate is not known here."""
+class PendingAnswer:
+    """A future answer; a ``value`` of None means that the outcome is unknown."""
 
     done: trio.Event = field(default_factory=trio.Event)
     value: Any = None
     leader: bool = True
-    then: Callable[["Pending"], None] | None = None
+    on_resolved: Callable[["PendingAnswer"], None] | None = None
 
     def resolve(self, value: Any, leader: bool = True) -> None:
-        """Give the answer once."""
+        """Set the answer and notify the waiters; later calls have no effect."""
         if not self.done.is_set():
             self.value, self.leader = value, leader
             self.done.set()
-            if self.then is not None:
-                self.then(self)
+            if self.on_resolved is not None:
+                self.on_resolved(self)
 
 
 class Proposal(NamedTuple):
-    """A command for the log, and where its answer goes."""
+    """A command for the log, and the pending answer to it."""
 
     kind: str
     request: NamedTuple
-    answer: Pending
+    answer: PendingAnswer
 
 
-class Read(NamedTuple):
-    """The wish to know the newest that is committed; the answer is its index."""
+class ReadRequest(NamedTuple):
+    """A request for the index of the last committed entry."""
 
-    answer: Pending
+    answer: PendingAnswer
 
 
 class PendingRead(NamedTuple):
@@ -46,17 +46,17 @@
     """
 
     asked_at: float
-    pending: Pending
+    pending: PendingAnswer
     confirmed_by: str | None = None
 
 
 class PendingEntry(NamedTuple):
-    """An entry that this leader has appended, its proposal, and all who wait for its commit."""
+    """An entry appended by this leader, its proposal, and the answers that await its commit."""
 
     term: int
     proposal: Proposal
-    waiting: list[Pending]
+    answers: list[PendingAnswer]
 
 
-class HandOver(NamedTuple):
-    """The owner is about to stop."""
+class TransferLeadership(NamedTuple):
+    """A request to transfer leadership before a shutdown."""
--- a/siskinspoke/coordination/claims.py
+++ b/siskinspoke/coordination/claims.py
@@ -1,9 +1,10 @@
-"""Claims on non-idempotent requests, as replicated state: each key runs at most once.
+"""Replicated claims on non-idempotent requests: each idempotency key is executed at most once.
 
-A claim is never taken over by time: a frozen VM that thaws still holds its claim, so it can
-do no harm by using it.  A claim whose attempt never began is freed only by proof: the target
-server has confirmed that it never will.  Keys expire by the clock of the log, which never
-goes back, and an expired key is refused, so forgetting it is safe.
+A claim is never taken over because of a timeout, so a VM that resumes after a suspension still owns
+its claim and can safely use it. A claim whose attempt did not start is released only after the
+target server has confirmed that it will never execute the attempt. Keys expire according to the
+replicated clock, which never goes backward. Expired keys are rejected, so their claims can be
+deleted.
 """
 
 import heapq
@@ -18,12 +19,12 @@
     Target,
 )
 
-MAX_KEPT_BODY = 1_024
-CLOCK_SLACK_MS = 1_000
+MAX_STORED_BODY_CHARS = 1_024
+CLOCK_SKEW_TOLERANCE_MS = 1_000
 
 
 class Claim(NamedTuple):
-    """One key's state; ``state`` is claimed, free or ran."""
+    """State of one idempotency key; ``state`` is CLAIMED, FREE or RAN."""
 
     expires_ms: int
     state: str
@@ -37,8 +38,8 @@
 CLAIMED, FREE, RAN = "claimed", "free", "ran"
 
 
-class ClaimBook:
-    """Apply claim commands in log order; the same log gives the same book everywhere."""
+class ClaimTable:
+    """Apply claim commands in log order, with the same result at every replica."""
 
     def __init__(self) -> None:
         self._claims: dict[str, Claim] = {}
@@ -48,21 +49,25 @@
         return len(self._claims)
 
     def claim(self, request: ClaimRequest, clock_ms: int) -> ClaimAnswer:
-        """Grant a claim, or tell who holds it or how it ended."""
-        self.forget(clock_ms)
+        """Grant a claim, or return its current owner or the result of the execution."""
+        self.remove_expired(clock_ms)
         if request.expires_ms <= clock_ms:
             return ClaimAnswer(int(ResultCode.KEY_EXPIRED))
-        if request.expires_ms > clock_ms + request.lifetime_ms + CLOCK_SLACK_MS:
+        if request.expires_ms > clock_ms + request.lifetime_ms + CLOCK_SKEW_TOLERANCE_MS:
             return ClaimAnswer(int(ResultCode.INVALID_KEY))
-        held = self._claims.get(request.key)
-        if held is None or held.state == FREE:
-            return self._grant(request, 1 if held is None else held.attempt + 1)
-        if held.state == CLAIMED and held.owner == request.owner and held.target == request.target:
-            # The answer to the first try was lost; the owner string names one request of one
-            # incarnation of one VM, so this is the same attempt asking again.
-            return self._answer(ResultCode.OK, held)
-        code = ResultCode.IN_PROGRESS if held.state == CLAIMED else ResultCode.ALREADY_RAN
-        return self._answer(code, held)
+        existing = self._claims.get(request.key)
+        if existing is None or existing.state == FREE:
+            return self._grant(request, 1 if existing is None else existing.attempt + 1)
+        if (
+            existing.state == CLAIMED
+            and existing.owner == request.owner
+            and existing.target == request.target
+        ):
+            # This is a retry of the same attempt after its answer was lost: the owner string
+            # identifies one request of one incarnation of one VM.
+            return self._answer(ResultCode.OK, existing)
+        code = ResultCode.IN_PROGRESS if existing.state == CLAIMED else ResultCode.ALREADY_RAN
+        return self._answer(code, existing)
 
     def _grant(self, request: ClaimRequest, attempt: int) -> ClaimAnswer:
         claim = Claim(request.expires_ms, CLAIMED, attempt, request.owner, request.target)
@@ -77,40 +82,40 @@
         )
 
     def lookup(self, request: LookupRequest, clock_ms: int) -> ClaimAnswer:
-        """Tell what is held on a key; OK means that no attempt of it holds or ran."""
-        self.forget(clock_ms)
-        held = self._claims.get(request.key)
-        if held is None or held.state == FREE:
+        """Return the claim on a key; OK means that no attempt holds the key or was executed."""
+        self.remove_expired(clock_ms)
+        existing = self._claims.get(request.key)
+        if existing is None or existing.state == FREE:
             return ClaimAnswer(int(ResultCode.OK))
-        code = ResultCode.IN_PROGRESS if held.state == CLAIMED else ResultCode.ALREADY_RAN
-        return self._answer(code, held)
+        code = ResultCode.IN_PROGRESS if existing.state == CLAIMED else ResultCode.ALREADY_RAN
+        return self._answer(code, existing)
 
     def settle(self, request: SettleRequest, clock_ms: int) -> ClaimAnswer:
-        """Record how an attempt ended; a word on an older attempt changes nothing."""
-        self.forget(clock_ms)
-        held = self._claims.get(request.key)
-        if held is None:
+        """Record the result of an attempt; results of earlier attempts are rejected."""
+        self.remove_expired(clock_ms)
+        existing = self._claims.get(request.key)
+        if existing is None:
             return ClaimAnswer(int(ResultCode.KEY_EXPIRED))
-        if held.attempt != request.attempt or held.state != CLAIMED:
-            return self._answer(ResultCode.CLAIM_CONFLICT, held)
+        if existing.attempt != request.attempt or existing.state != CLAIMED:
+            return self._answer(ResultCode.CLAIM_CONFLICT, existing)
         state = RAN if request.ran else FREE
-        body = request.body if len(request.body) <= MAX_KEPT_BODY else ""
-        settled = held._replace(state=state, status=request.status, body=body)
+        body = request.body if len(request.body) <= MAX_STORED_BODY_CHARS else ""
+        settled = existing._replace(state=state, status=request.status, body=body)
         self._claims[request.key] = settled
         return self._answer(ResultCode.OK, settled)
 
-    def forget(self, clock_ms: int) -> None:
-        """Drop expired keys."""
+    def remove_expired(self, clock_ms: int) -> None:
+        """Delete the claims of expired keys."""
         while self._expiries and self._expiries[0][0] <= clock_ms:
             _, key = heapq.heappop(self._expiries)
             self._claims.pop(key, None)
 
     def to_document(self) -> dict:
-        """Return the whole book for a snapshot."""
+        """Return all claims for a snapshot."""
         return {key: list(claim) for key, claim in self._claims.items()}
 
     def load(self, document: dict) -> None:
-        """Replace the book by one from a snapshot."""
+        """Replace all claims with those of a snapshot."""
         self._claims = {}
         for key, fields in document.items():
             expires, state, attempt, owner, target, status, body = fields
--- a/siskinspoke/coordination/orders.py
+++ b/siskinspoke/coordination/orders.py
@@ -1,18 +1,19 @@
-"""Orders to engines: what is to be done, as replicated state, and when a leader may send it.
+"""Replicated orders to engines, and when a leader may send them.
 
-The number of an order is its place in the log, and so its fencing number: a later one is
-greater, whoever leads.  Engines that check it refuse an older order by themselves.  For those that
-ignore it only time protects: a leader sends under its lease and gives an order up after
-FLIGHT_MS, and a new leader waits that long before its first order to such an engine.
+The number of an order is its log index, which also serves as its fencing token: later orders have
+higher numbers across changes of leader. Engines that check the token reject outdated orders.
+Engines that ignore it are protected by timing alone: a leader sends orders only while it holds a
+lease and abandons an order after ORDER_TIMEOUT_MS, and a new leader waits that long before it sends
+the first order to such an engine.
 """
 
 from typing import NamedTuple, TypedDict
 
 from siskinspoke.core.codes import ResultCode
 
-FLIGHT_MS = 3_000.0
-ORDER_LIFE_MS = 60_000
-MAX_FINISHED = 2_000
+ORDER_TIMEOUT_MS = 3_000.0
+ORDER_LIFETIME_MS = 60_000
+MAX_FINISHED_ORDERS = 2_000
 LOADING_ACTIONS = frozenset({"load-model", "load-adapter", "load-version"})
 ACTIONS = LOADING_ACTIONS | {"change-role"}
 
@@ -20,7 +21,7 @@
 
 
 class OrderRequest(NamedTuple):
-    """An operator's order; ``order`` names it, so that a resend is carried out once."""
+    """An operator's order; ``order`` is its idempotency key."""
 
     order: str
     operator: str
@@ -34,7 +35,7 @@
 
 
 class OrderBody(TypedDict):
-    """An order as operators send it; the fields are those of OrderRequest."""
+    """Request body of an order; the fields match OrderRequest."""
 
     order: str
     operator: str
@@ -48,7 +49,7 @@
 
 
 class OrderEnd(NamedTuple):
-    """How an order ended, as its sender saw it."""
+    """Result of an order as reported by the leader that sent it."""
 
     number: int
     done: bool
@@ -56,7 +57,7 @@
 
 
 class OrderAnswer(NamedTuple):
-    """An order's number and state."""
+    """Number and state of an order."""
 
     code: int
     number: int
@@ -65,7 +66,7 @@
 
 
 class OrderRecord(NamedTuple):
-    """One order and how far it is; ``given_ms`` is the log's clock when it was accepted."""
+    """An order and its state; ``given_ms`` is the replicated time at which it was accepted."""
 
     number: int
     given_ms: int
@@ -74,15 +75,15 @@
     detail: str
 
 
-class OrderBook:
-    """Keep orders in the sequence of the log."""
+class OrderTable:
+    """Store orders in log order."""
 
     def __init__(self) -> None:
         self._records: dict[int, OrderRecord] = {}
         self._numbers: dict[str, int] = {}
 
-    def give(self, request: OrderRequest, number: int, clock_ms: int) -> OrderAnswer:
-        """Accept an order, or answer for the one of that name."""
+    def submit(self, request: OrderRequest, number: int, clock_ms: int) -> OrderAnswer:
+        """Accept an order, or answer for an earlier one with the same idempotency key."""
         known = self._numbers.get(request.order)
         if known is not None:
             same = self._records[known].request == request
@@ -91,22 +92,22 @@
         record = OrderRecord(number, clock_ms, request, PENDING, "")
         self._records[number] = record
         self._numbers[request.order] = number
-        self._forget()
+        self._remove_oldest_finished()
         return self._answer(ResultCode.OK, record)
 
-    def end(self, end: OrderEnd) -> OrderAnswer | None:
-        """Record how an order ended; the first word counts."""
-        record = self._records.get(end.number)
+    def record_result(self, result: OrderEnd) -> OrderAnswer | None:
+        """Record the result of an order; only the first result counts."""
+        record = self._records.get(result.number)
         if record is None:
             return None
         if record.state == PENDING:
-            state = DONE if end.done else FAILED
-            record = record._replace(state=state, detail=end.detail)
-            self._records[end.number] = record
+            state = DONE if result.done else FAILED
+            record = record._replace(state=state, detail=result.detail)
+            self._records[result.number] = record
         return self._answer(ResultCode.OK, record)
 
     def find(self, order: str) -> OrderAnswer | None:
-        """Return the state of an order by its name."""
+        """Return the state of the order with an idempotency key."""
         number = self._numbers.get(order)
         return None if number is None else self._answer(ResultCode.OK, self._records[number])
 
@@ -114,16 +115,16 @@
         return OrderAnswer(int(code), record.number, record.state, record.detail)
 
     def pending(self) -> list[OrderRecord]:
-        """Return the first pending order of each server: a server's orders go one by one."""
+        """Return the first pending order of each server; its orders are sent one at a time."""
         firsts: dict[str, OrderRecord] = {}
         for record in self._records.values():
             if record.state == PENDING:
                 firsts.setdefault(record.request.server, record)
         return list(firsts.values())
 
-    def _forget(self) -> None:
+    def _remove_oldest_finished(self) -> None:
         finished = [n for n, record in self._records.items() if record.state != PENDING]
-        for number in finished[: max(0, len(finished) - MAX_FINISHED)]:
+        for number in finished[: max(0, len(finished) - MAX_FINISHED_ORDERS)]:
             del self._numbers[self._records.pop(number).request.order]
 
     def to_document(self) -> list:
@@ -131,7 +132,7 @@
         return [list(record) for record in self._records.values()]
 
     def load(self, document: list) -> None:
-        """Replace all orders by those of a snapshot."""
+        """Replace all orders with those of a snapshot."""
         records = [
             OrderRecord(number, given, OrderRequest(*request), state, detail)
             for number, given, request, state, detail in document
@@ -140,47 +141,48 @@
         self._numbers = {record.request.order: record.number for record in records}
 
 
-class OrderGate:
-    """Decide which orders a leader may send now; times are monotonic milliseconds."""
+class OrderDispatcher:
+    """Select the orders that a leader may send; times are monotonic milliseconds."""
 
     def __init__(self, concurrent_loads: int):
         self._concurrent_loads = concurrent_loads
-        self._flying: dict[int, OrderRecord] = {}
-        self._leads_since: float | None = None
-
-    def leadership(self, leads: bool, now: float) -> None:
-        """Note whether this replica leads."""
-        if not leads:
-            self._leads_since = None
-        elif self._leads_since is None:
-            self._leads_since = now
-
-    def choose(self, pending: list[OrderRecord], lease_until: float, now: float):
-        """Return the orders to send now, each once until it lands.
-
-        Weights come from a store with a rate limit.  Since one leader sends all orders, its count
-        of loads under way bounds all VMs together; a new leader first lets the old one's loads
-        end, so that a failure domain that returns starts no storm.
+        self._in_flight: dict[int, OrderRecord] = {}
+        self._leader_since: float | None = None
+
+    def update_leadership(self, is_leader: bool, now: float) -> None:
+        """Record whether this replica is the leader."""
+        if not is_leader:
+            self._leader_since = None
+        elif self._leader_since is None:
+            self._leader_since = now
+
+    def select(self, pending: list[OrderRecord], lease_expires_at: float, now: float):
+        """Return the orders to send now; none is returned again while it is in flight.
+
+        Model weights are loaded from a store with a rate limit. Since a single leader sends all
+        orders, limiting its concurrent loads limits those of all VMs. A new leader first waits for
+        the loads of the previous one to end, so that the return of a failure domain does not
+        trigger a burst of loads.
         """
-        if self._leads_since is None or now >= lease_until:
+        if self._leader_since is None or now >= lease_expires_at:
             return []
-        settled = now - self._leads_since >= FLIGHT_MS
-        chosen = []
+        takeover_complete = now - self._leader_since >= ORDER_TIMEOUT_MS
+        selected = []
         for record in pending:
-            loading = record.request.action in LOADING_ACTIONS
-            if record.number in self._flying:
+            is_load = record.request.action in LOADING_ACTIONS
+            if record.number in self._in_flight:
                 continue
-            if not settled and (loading or not record.request.fencing):
+            if not takeover_complete and (is_load or not record.request.fencing):
                 continue
-            if loading and self._loads() >= self._concurrent_loads:
+            if is_load and self._loads_in_flight() >= self._concurrent_loads:
                 continue
-            self._flying[record.number] = record
-            chosen.append(record)
-        return chosen
+            self._in_flight[record.number] = record
+            selected.append(record)
+        return selected
 
-    def _loads(self) -> int:
-        return sum(r.request.action in LOADING_ACTIONS for r in self._flying.values())
+    def _loads_in_flight(self) -> int:
+        return sum(r.request.action in LOADING_ACTIONS for r in self._in_flight.values())
 
-    def landed(self, number: int) -> None:
-        """Note that an order is no longer under way."""
-        self._flying.pop(number, None)
+    def mark_finished(self, number: int) -> None:
+        """Record that an order is no longer in flight."""
+        self._in_flight.pop(number, None)
--- a/siskinspoke/coordination/replica/elections.py
+++ b/siskinspoke/coordination/replica/elections.py
@@ -1,24 +1,24 @@
-"""How replicas elect a leader: a trial vote first, and only disks that count."""
+"""Leader election: pre-vote, voting and vote counting."""
 
 from siskinspoke.coordination.replica.core import ReplicaCore
 from siskinspoke.coordination.replica_types import LostElection, Refusal, Role
 from siskinspoke.protocol.replication import VoteReply, VoteRequest
 
 
-class Electing(ReplicaCore):
-    """Stand, vote, and count votes."""
+class ElectionMixin(ReplicaCore):
+    """Start elections, answer vote requests and count votes."""
 
-    def _stand(self, now: float, trial: bool, handover: bool = False) -> None:
-        """Ask for votes, first on trial."""
-        self._rearm(now)
+    def _start_election(self, now: float, pre_vote: bool, handover: bool = False) -> None:
+        """Start a pre-vote if ``pre_vote`` is set, otherwise an election in the next term."""
+        self._reset_election_timer(now)
         if not self.admitted:
             return
         self.role = Role.CANDIDATE
         self.leader = None
-        self._trial = trial
+        self._pre_vote = pre_vote
         self._refusals.clear()
-        if trial:
-            self._trial_votes = {self.name}
+        if pre_vote:
+            self._pre_votes = {self.name}
         else:
             self._set_term(self.term + 1, self.name)
             self._candidate_term = self.term
@@ -27,29 +27,29 @@
         request = VoteRequest(
             self.name,
             self.identity.incarnation,
-            self.term + trial,
+            self.term + pre_vote,
             self.log.last_index,
             self.log.last_term,
-            trial,
+            pre_vote,
             self.commit,
             self.log.term_at(self.commit),
             handover,
         )
         # The candidate's vote for itself must be durable before it requests others. Otherwise
         # it could vote for another candidate in the same term after a crash.
-        sends = self._out.sends if trial else self._out.sends_after_sync
+        sends = self._out.sends if pre_vote else self._out.sends_after_sync
         sends.extend((peer, request) for peer in self._peers)
         self._count_votes(now)
 
     def _report_lost_election(self) -> None:
-        """Add the current election to the output if this replica is a candidate."""
+        """Report the current election as lost if this replica is a candidate."""
         if self.role is not Role.CANDIDATE:
             return
-        votes = self._trial_votes if self._trial else self._votes
+        votes = self._pre_votes if self._pre_vote else self._votes
         answered = votes | self._refusals.keys()
         election = LostElection(
-            self.term + self._trial,
-            self._trial,
+            self.term + self._pre_vote,
+            self._pre_vote,
             sorted(votes),
             dict(self._refusals),
             [peer for peer in self._peers if peer not in answered],
@@ -59,20 +59,20 @@
     def _count_votes(self, now: float) -> None:
         if self._candidate_term == self.term and self._is_majority(len(self._votes)):
             self._become_leader(now)
-        elif self._trial and self._is_majority(len(self._trial_votes)):
-            self._stand(now, trial=False)
+        elif self._pre_vote and self._is_majority(len(self._pre_votes)):
+            self._start_election(now, pre_vote=False)
 
-    def _learn_commit(self, index: int, term: int) -> None:
-        """Take over what another replica knows to be committed, where the logs agree there.
+    def _adopt_commit(self, index: int, term: int) -> None:
+        """Advance the commit index to that of another replica if the logs match there.
 
-        After a repair, perhaps one replica alone has heard that the replaced disk counts.  If
-        it could not pass that on with its votes, the others would refuse each other forever.
+        After a disk is replaced, a single replica may know that its ``admit`` entry is committed.
+        Unless vote messages propagate this, the others would refuse each other's votes forever.
         """
         if index > self.commit and self.log.term_at(index) == term:
             self._commit_to(index)
 
     def _on_vote_request(self, request: VoteRequest, now: float) -> None:
-        self._learn_commit(request.commit, request.commit_term)
+        self._adopt_commit(request.commit, request.commit_term)
         may_violate_lease = self._may_violate_lease(request, now)
         if request.term > self.term and not request.trial and not may_violate_lease:
             self._set_term(request.term)
@@ -100,11 +100,11 @@
     def _refusal_reason(self, request: VoteRequest, now: float) -> Refusal | None:
         """Return why a vote is refused, or None if it is granted.
 
-        Whether a granted vote counts is for the candidate to know: it stands only if its own disk
-        counts, and counts only votes of disks whose admission it knows to be committed.
+        The voter does not check disk incarnations. A candidate starts an election only if its own
+        disk is admitted, and counts only votes from disks whose admission it knows to be committed.
         """
-        mine = (self.log.last_term, self.log.last_index)
-        if (request.last_term, request.last_index) < mine:
+        own_position = (self.log.last_term, self.log.last_index)
+        if (request.last_term, request.last_index) < own_position:
             return Refusal.LOG
         if request.trial:
             if request.term <= self.term:
@@ -119,27 +119,30 @@
     def _may_violate_lease(self, request: VoteRequest, now: float) -> bool:
         """Return whether a vote could elect a new leader while the current one holds a lease.
 
-        The trial vote does not rule this out: this replica may hear the leader again while the
-        candidate syncs its own vote.
+        The pre-vote does not rule this out: this replica may receive another message from the
+        leader while the candidate syncs its own vote.
         """
         if request.trial or request.handover or self.role is Role.LEADER:
             return False
-        return now - self._leader_heard_at < self._times.election_ms
+        return now - self._last_leader_contact_at < self._times.election_ms
 
     def _has_no_recent_leader_or_vote(self, now: float) -> bool:
-        """Return whether this replica has neither heard a leader nor voted recently.
+        """Return whether the replica neither had contact with a leader nor voted recently.
 
-        This uses the configured timeout instead of the adaptive one because leases depend on it.
+        Uses the configured timeout instead of the adaptive one because leases depend on it.
         """
         if self.role is Role.LEADER or (self.role is Role.FOLLOWER and self._pending_vote_output):
             return False
-        return now - max(self._leader_heard_at, self._vote_durable_at) >= self._times.election_ms
+        return (
+            now - max(self._last_leader_contact_at, self._vote_durable_at)
+            >= self._times.election_ms
+        )
 
     def _on_vote_reply(self, reply: VoteReply, now: float) -> None:
-        self._learn_commit(reply.commit, reply.commit_term)
+        self._adopt_commit(reply.commit, reply.commit_term)
         if reply.own_term > self.term:
-            # Otherwise a replica with the longer log and the lower term would be refused for
-            # its term, the other one for its log, and neither would ever lead.
+            # Adopt the voter's term. Otherwise, of two replicas, the one with the longer log could
+            # be refused for its lower term and the other for its log, so neither would ever lead.
             self._refusals[reply.sender] = Refusal.TERM
             self._report_lost_election()
             self._set_term(reply.own_term)
@@ -147,10 +150,10 @@
             return
         if self.role is not Role.CANDIDATE or reply.term != self.term + reply.trial:
             return
-        counts = self._counts(reply.sender, reply.incarnation)
+        counts = self._is_voting_member(reply.sender, reply.incarnation)
         if reply.granted and counts:
-            # A vote stays valid throughout its term, even after the next trial has started.
-            (self._trial_votes if reply.trial else self._votes).add(reply.sender)
+            # A vote stays valid throughout its term, even after the next pre-vote has started.
+            (self._pre_votes if reply.trial else self._votes).add(reply.sender)
             self._count_votes(now)
-        elif reply.trial == self._trial:
+        elif reply.trial == self._pre_vote:
             self._refusals[reply.sender] = Refusal.DISK if reply.granted else reply.refusal
--- a/siskinspoke/coordination/machine.py
+++ b/siskinspoke/coordination/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: configuration and claims, changed only by committed commands."""
+"""Replicated state machine for configuration, claims and orders."""
 
 import hashlib
 from collections import deque
@@ -7,23 +7,23 @@
 import msgspec
 
 from siskinspoke.conf import difference
-from siskinspoke.coordination.claims import ClaimBook
-from siskinspoke.coordination.orders import OrderAnswer, OrderBook, OrderEnd, OrderRequest
+from siskinspoke.coordination.claims import ClaimTable
+from siskinspoke.coordination.orders import OrderAnswer, OrderEnd, OrderRequest, OrderTable
 from siskinspoke.core.codes import ResultCode
 from siskinspoke.protocol.claims import ClaimAnswer, ClaimRequest, LookupRequest, SettleRequest
 from siskinspoke.protocol.replication import Entry
 
 CLAIM, LOOKUP, SETTLE, CONFIGURE = "claim", "lookup", "settle", "configure"
 ORDER, ORDER_END, PUBLISH = "order", "order-end", "publish"
-MAX_ORDERS = 20_000
+MAX_REMEMBERED_CHANGES = 20_000
 MAX_PATCHES = 64
 
 
 class ConfigureRequest(NamedTuple):
-    """An operator's change: replace ``expect`` by the next version.
+    """An operator's request to replace configuration version ``expect`` with the next version.
 
-    ``order`` names the change: an order that is sent again is answered again and carried out
-    once.
+    ``order`` is an idempotency key: a request that is resent is applied once and gets the same
+    answer again.
     """
 
     order: str
@@ -33,7 +33,7 @@
 
 
 class ConfigureBody(TypedDict):
-    """A change as operators send it; the fields are those of ConfigureRequest."""
+    """Request body of a configuration change; the fields match ConfigureRequest."""
 
     order: str
     operator: str
@@ -42,106 +42,106 @@
 
 
 class ConfigureAnswer(NamedTuple):
-    """Whether a change was accepted, and the version that is accepted now."""
+    """Result of a configuration change and the version that is now current."""
 
     code: int
     version: int
 
 
 class PublishRequest(NamedTuple):
-    """A whole configuration under a number of its sender's; the highest number is in force."""
+    """A complete configuration with a version assigned by the sender; the highest one applies."""
 
     version: int
     document: dict
 
 
 class PublishAnswer(NamedTuple):
-    """The version that is in force, and whether this request put it there."""
+    """The current version and whether this request installed it."""
 
     version: int
     installed: bool
 
 
-class Machine:
-    """Apply committed commands; the same commands give the same state at every replica."""
+class StateMachine:
+    """Apply committed commands in log order, with the same result at every replica."""
 
     def __init__(self) -> None:
-        self.claims = ClaimBook()
-        self.orders = OrderBook()
+        self.claims = ClaimTable()
+        self.orders = OrderTable()
         self.version = 0
         self.document: dict | None = None
         self.clock_ms = 0
-        self._orders: dict[str, tuple[str, int]] = {}
+        self._applied_changes: dict[str, tuple[str, int]] = {}
         self._patches: deque[dict] = deque(maxlen=MAX_PATCHES)
 
     def patches_since(self, version: int) -> list[dict] | None:
-        """Return the overlays that lead from a version to the present one.
+        """Return the patches from a version to the current one.
 
-        None means that they are not held; the whole document is needed then.
+        None means that they are not available, so that the complete document is needed.
         """
-        missing = self.version - version
-        if version < 1 or not 0 < missing <= len(self._patches):
+        count = self.version - version
+        if version < 1 or not 0 < count <= len(self._patches):
             return None
-        return list(self._patches)[-missing:]
+        return list(self._patches)[-count:]
 
     def apply(
         self, entry: Entry
     ) -> ClaimAnswer | ConfigureAnswer | OrderAnswer | PublishAnswer | None:
         """Apply one command and return its answer.
 
-        The leader stamps each command with its wall clock; the highest stamp so far is the
-        clock of the log, which never goes back whatever the VMs' clocks do.
+        The leader adds its wall-clock time to each command. The replicated clock is the highest of
+        these timestamps, so it never goes backward even if the clock of a VM does.
         """
         match entry.kind:
             case "claim":
                 request = msgspec.convert(entry.body["request"], ClaimRequest)
-                return self.claims.claim(request, self._advance(entry.body))
+                return self.claims.claim(request, self._advance_clock(entry.body))
             case "lookup":
                 request = msgspec.convert(entry.body["request"], LookupRequest)
-                return self.claims.lookup(request, self._advance(entry.body))
+                return self.claims.lookup(request, self._advance_clock(entry.body))
             case "settle":
                 request = msgspec.convert(entry.body["request"], SettleRequest)
-                return self.claims.settle(request, self._advance(entry.body))
+                return self.claims.settle(request, self._advance_clock(entry.body))
             case "configure":
-                self._advance(entry.body)
+                self._advance_clock(entry.body)
                 return self._configure(msgspec.convert(entry.body["request"], ConfigureRequest))
             case "publish":
-                self._advance(entry.body)
+                self._advance_clock(entry.body)
                 return self._publish(msgspec.convert(entry.body["request"], PublishRequest))
             case "order":
                 order = msgspec.convert(entry.body["request"], OrderRequest)
-                return self.orders.give(order, entry.index, self._advance(entry.body))
+                return self.orders.submit(order, entry.index, self._advance_clock(entry.body))
             case "order-end":
-                return self.orders.end(msgspec.convert(entry.body["request"], OrderEnd))
+                return self.orders.record_result(msgspec.convert(entry.body["request"], OrderEnd))
             case _:
                 return None
 
-    def _advance(self, body: dict) -> int:
+    def _advance_clock(self, body: dict) -> int:
         self.clock_ms = max(self.clock_ms, body["now_ms"])
         return self.clock_ms
 
     def _configure(self, request: ConfigureRequest) -> ConfigureAnswer:
         digest = _digest(request)
-        known = self._orders.get(request.order)
-        if known is not None:
-            same = known[0] == digest
+        earlier = self._applied_changes.get(request.order)
+        if earlier is not None:
+            same = earlier[0] == digest
             code = ResultCode.OK if same else ResultCode.ORDER_REUSED
-            return ConfigureAnswer(int(code), known[1] if same else self.version)
+            return ConfigureAnswer(int(code), earlier[1] if same else self.version)
         if request.expect != self.version:
             return ConfigureAnswer(int(ResultCode.VERSION_CONFLICT), self.version)
         self.version += 1
         self._patches.append(difference(self.document or {}, request.document))
         self.document = request.document
-        self._orders[request.order] = (digest, self.version)
-        if len(self._orders) > MAX_ORDERS:
-            del self._orders[next(iter(self._orders))]
+        self._applied_changes[request.order] = (digest, self.version)
+        if len(self._applied_changes) > MAX_REMEMBERED_CHANGES:
+            del self._applied_changes[next(iter(self._applied_changes))]
         return ConfigureAnswer(int(ResultCode.OK), self.version)
 
     def _publish(self, request: PublishRequest) -> PublishAnswer:
-        """Put a configuration in force unless one of the same or a higher number is.
+        """Install a configuration unless its version is the current one or older.
 
-        An order that is sent again, or that a later one has overtaken, changes nothing and is
-        answered as before, so that its sender can stop.
+        A request that was resent or superseded changes nothing but is still answered, so that its
+        sender stops retrying.
         """
         if request.version <= self.version:
             return PublishAnswer(self.version, False)
@@ -151,28 +151,30 @@
         return PublishAnswer(self.version, True)
 
     def to_document(self) -> dict:
-        """Return the whole state for a snapshot."""
+        """Return the complete state for a snapshot."""
         return {
             "claims": self.claims.to_document(),
             "engine_orders": self.orders.to_document(),
             "version": self.version,
             "document": self.document,
             "clock_ms": self.clock_ms,
-            "orders": [[order, *known] for order, known in self._orders.items()],
+            "orders": [[order, *known] for order, known in self._applied_changes.items()],
         }
 
     def load(self, state: dict) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.claims.load(state["claims"])
         self.orders.load(state["engine_orders"])
         self.version = state["version"]
         self._patches.clear()
         self.document = state["document"]
         self.clock_ms = state["clock_ms"]
-        self._orders = {order: (digest, version) for order, digest, version in state["orders"]}
+        self._applied_changes = {
+            order: (digest, version) for order, digest, version in state["orders"]
+        }
 
 
 def _digest(request: ConfigureRequest) -> str:
-    """Return what tells two uses of one order id apart."""
+    """Return a digest that detects the reuse of an order id for a different change."""
     content: Any = (request.expect, request.document)
     return hashlib.blake2b(msgspec.json.encode(content, order="sorted"), digest_size=16).hexdigest()
--- a/siskinspoke/gateway/context.py
+++ b/siskinspoke/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the tasks of a gateway share, and the facts of one request on its way."""
+"""State shared by the tasks of a gateway, and the state of one request in progress."""
 
 import math
 import random
@@ -10,19 +10,19 @@
 
 from siskinspoke.conf.vm import VmSettings
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import Books
 from siskinspoke.coordination.crash_watch import CrashWatch
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.domains import Domains
-from siskinspoke.coordination.fingerprints import Subject
-from siskinspoke.coordination.foresight import Foresight
-from siskinspoke.coordination.fullness import Fullness
-from siskinspoke.coordination.liveness import ConnectTimer, Looks
+from siskinspoke.coordination.domains import DomainMonitor
+from siskinspoke.coordination.fingerprints import RequestIdentity
+from siskinspoke.coordination.first_token_margin import FirstTokenMargin
+from siskinspoke.coordination.liveness import ConnectTimeout, ProbeTracker
+from siskinspoke.coordination.no_room_cache import NoRoomCache
 from siskinspoke.coordination.placement import Placement
 from siskinspoke.coordination.rate_limits import RateLimits
-from siskinspoke.coordination.retries import CommonBudget
+from siskinspoke.coordination.retries import SharedRetryBudget
 from siskinspoke.coordination.routes import CallKind, ClientLimits, Customer, Route, RouteTable
-from siskinspoke.coordination.standing import Standing
+from siskinspoke.coordination.server_health import ServerHealth
+from siskinspoke.coordination.work_table import WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.decisions import DecisionLog
 from siskinspoke.core.latencies import Latencies
@@ -31,39 +31,40 @@
 from siskinspoke.gateway.peers import Peers
 from siskinspoke.gateway.permits import Permits
 from siskinspoke.gateway.pool import Pool
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.queries import Queries
 from siskinspoke.gateway.wire import Call, Wire
 
-# How long after it was told to stop a VM still takes requests.  The balancer sends no more after
-# 3 s, and what has come by then may be cut; plain requests end within 1.5 s.  Milliseconds.
-STREAMS_MS = 2_900.0
-PLAIN_MS = 5_500.0
+# How long after the stop signal a VM still accepts requests. The load balancer stops sending new
+# ones after 3 s, and requests that arrived by then may be cut off. Plain requests finish within
+# 1.5 s.
+ACCEPT_STREAMS_MS = 2_900.0
+ACCEPT_PLAIN_MS = 5_500.0
 
 
 def now_ms() -> float:
-    """Return the clock of this VM's decisions, in milliseconds."""
+    """Return this VM's monotonic clock, in milliseconds."""
     return trio.current_time() * 1000
 
 
 @dataclass
 class Gateway:
-    """The parts of a gateway; each owns its own state."""
+    """The components of a gateway, each of which owns its own state."""
 
     settings: VmSettings
     wire: Wire
     directory: Directory
     placement: Placement
-    standing: Standing
-    domains: Domains
+    server_health: ServerHealth
+    domains: DomainMonitor
     rate_limits: RateLimits
     back_offs: BackOffs
-    budget: CommonBudget
+    budget: SharedRetryBudget
     pool: Pool
     attempts: OpenAttempts
-    looks: Looks
-    connects: ConnectTimer
+    probes: ProbeTracker
+    connect_timeout: ConnectTimeout
     cells: CellView
-    questions: Questions
+    queries: Queries
     permits: Permits
     peers: Peers
     crashes: CrashWatch
@@ -71,55 +72,55 @@
     latencies: Latencies
     log: DecisionLog
     rng: random.Random
-    fullness: Fullness = field(default_factory=Fullness)
-    foresight: Foresight = field(default_factory=Foresight)
-    chores: trio.Nursery | None = None
+    no_room_cache: NoRoomCache = field(default_factory=NoRoomCache)
+    first_token_margin: FirstTokenMargin = field(default_factory=FirstTokenMargin)
+    nursery: trio.Nursery | None = None
     table: RouteTable | None = None
-    draining_since: float | None = None
+    draining_since_ms: float | None = None
     open_requests: int = 0
-    idle: set[trio.CancelScope] = field(default_factory=set)
-    crash_looks: dict[tuple[str, int], trio.Event] = field(default_factory=dict)
+    idle_connections: set[trio.CancelScope] = field(default_factory=set)
+    crash_probes: dict[tuple[str, int], trio.Event] = field(default_factory=dict)
     configured: trio.Event = field(default_factory=trio.Event)
     started_at: float = -math.inf
 
     @property
     def draining(self) -> bool:
-        """Tell whether this VM is about to stop."""
-        return self.draining_since is not None
+        """Return whether this VM is shutting down."""
+        return self.draining_since_ms is not None
 
     @property
-    def refusing(self) -> bool:
-        """Tell whether no stream is taken any more."""
-        return not self.time_for(CallKind.STREAM)
+    def refuses_streams(self) -> bool:
+        """Return whether this VM no longer accepts streams."""
+        return not self.accepts(CallKind.STREAM)
 
-    def time_for(self, kind: CallKind) -> bool:
-        """Tell whether a request of a kind that comes now can end before this VM stops.
+    def accepts(self, kind: CallKind) -> bool:
+        """Return whether a request of this kind that arrives now can finish before shutdown.
 
-        One that was taken too late would be cut in the middle of its answer.
+        A request accepted too late would be cut off in the middle of its response.
         """
-        if self.draining_since is None:
+        if self.draining_since_ms is None:
             return True
-        since = now_ms() - self.draining_since
-        return since < (STREAMS_MS if kind is CallKind.STREAM else PLAIN_MS)
+        elapsed_ms = now_ms() - self.draining_since_ms
+        return elapsed_ms < (ACCEPT_STREAMS_MS if kind is CallKind.STREAM else ACCEPT_PLAIN_MS)
 
-    def stop_waiting(self) -> None:
-        """End connections that wait for a request: their clients go on at another VM."""
-        for scope in list(self.idle):
+    def close_idle_connections(self) -> None:
+        """Close idle client connections so that their clients reconnect to another VM."""
+        for scope in list(self.idle_connections):
             scope.cancel()
 
     @property
     def limits(self) -> ClientLimits:
-        """Return the limits in force for clients."""
+        """Return the client limits currently in effect."""
         return self.table.limits if self.table is not None else ClientLimits()
 
     @property
-    def books(self) -> Books:
-        """Return the books of the fleet's engines."""
-        return self.placement.books
+    def work_table(self) -> WorkTable:
+        """Return the load state of the engines."""
+        return self.placement.work_table
 
 
-class Tried(NamedTuple):
-    """One attempt of a request, for its log line."""
+class AttemptResult(NamedTuple):
+    """One attempt of a request, as it appears in the request's log line."""
 
     server: str
     outcome: str
@@ -128,7 +129,7 @@
 
 @dataclass
 class Request:
-    """One request on its way: what it wants, what it was given, and what became of it."""
+    """One request in progress: its parameters, its placement and its outcome."""
 
     call: Call
     route: Route
@@ -136,11 +137,11 @@
     arrived_ms: float
     version: int
     service: str = ""
-    tried: list[Tried] = field(default_factory=list)
-    # Servers that were chosen, and asked not to get it before it was sent.
+    attempts: list[AttemptResult] = field(default_factory=list)
+    # Chosen servers that became unavailable (back-off, rate limit or leaving) before the send.
     held: list[str] = field(default_factory=list)
-    first_ms: float | None = None
-    expected_ms: float | None = None
+    first_token_ms: float | None = None
+    expected_first_token_ms: float | None = None
     engines: int = 0
     considered: int = 0
     idle: int = 0
@@ -148,34 +149,38 @@
     widened: bool = False
     events: int = 0
     longest_pause_ms: float = 0.0
-    # How many servers have crashed with this request open, and nothing has cleared it since.
+    # Servers that crashed with this request open, as long as it has not been cleared since.
     crashes: int = 0
     status: int = 0
     end: str = ""
 
     @property
     def deadline_ms(self) -> float:
-        """Return how long after its arrival the answer must have ended."""
-        asked = self.call.deadline_ms
-        return self.route.timeout_ms if asked is None else min(asked, self.route.timeout_ms)
-
-    def left_ms(self, now: float) -> float:
-        """Return how long the answer may still take."""
+        """Return the time after arrival by which the response must be complete."""
+        requested_ms = self.call.deadline_ms
+        return (
+            self.route.timeout_ms
+            if requested_ms is None
+            else min(requested_ms, self.route.timeout_ms)
+        )
+
+    def remaining_ms(self, now: float) -> float:
+        """Return the time left until the deadline."""
         return self.deadline_ms - (now - self.arrived_ms)
 
-    def note(self, server: str, outcome: str, now: float) -> None:
-        """Remember how an attempt ended."""
-        self.tried.append(Tried(server, outcome, round(now - self.arrived_ms, 1)))
+    def record_attempt(self, server: str, outcome: str, now: float) -> None:
+        """Record the outcome of an attempt."""
+        self.attempts.append(AttemptResult(server, outcome, round(now - self.arrived_ms, 1)))
 
     @cached_property
-    def subject(self) -> Subject:
-        """Return what tells whether another request is the same."""
+    def subject(self) -> RequestIdentity:
+        """Return the identity by which repeats of this request are recognized."""
         customer = self.customer.name if self.customer is not None else ""
-        return Subject(customer, f"{self.call.host}{self.call.target}", self.call.body)
+        return RequestIdentity(customer, f"{self.call.host}{self.call.target}", self.call.body)
 
     @property
     def rank(self) -> int:
-        """Return the rank of the request; 0 goes first."""
+        """Return the priority of the request; 0 is the highest."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
--- a/siskinspoke/gateway/reservations.py
+++ b/siskinspoke/gateway/reservations.py
@@ -1,9 +1,9 @@
-"""Hold memory at several engines for a prompt that no engine holds alone, all or nothing.
+"""Reserve memory on several engines, all or nothing, for a prompt that none holds alone.
 
-Members are reserved in one total order, by server name, so two long prompts never hold half
-each and wait for the other.  Each reservation has a short lease that is renewed for as long as
-its request runs: whatever is lost or carried out late, an entry VM's death included, the memory
-is free again soon after.
+Members are reserved in one total order, by server name, so that two long prompts never hold half of
+the members each and wait for the other.  Each reservation has a short lease that is renewed while
+its request runs: the memory is free again soon after any loss or delay, the failure of an entry VM
+included.
 """
 
 from collections.abc import Sequence
@@ -16,125 +16,129 @@
 from siskinspoke.gateway.context import Gateway
 from siskinspoke.gateway.exchange import ask
 
-# Lease of reserved memory.  Engines may carry an order out seconds late, after the release; the
-# memory must not then stay taken for two seconds, which counts as lost.  Milliseconds.
+# Lease of reserved memory.  An engine may carry out an order seconds late, after its release; the
+# memory must be free again in less than the two seconds after which it counts as lost.
+# Milliseconds.
 LEASE_MS = 1_900
-# A renewal must still count after one loss: a lost packet is sent again after 0.2 s.
+# The lease must outlive the loss of one renewal: a lost packet is retransmitted after 0.2 s.
 RENEW_SECONDS = 0.6
 ORDER_SECONDS = 0.5
-# An order on a connection that has fallen silent is lost; one used lately has hardly done so.
-FRESH_MS = 1_000.0
-# An order without an answer may be carried out up to this much later; until then its release is
-# sent again as often as the lease runs out.  Seconds.
-LATE_SECONDS = 13.0
-AGAIN_SECONDS = 1.5
+# Longest idle time of a pooled connection for an order: an order on a connection that has stopped
+# responding is lost, which is unlikely soon after its last use.  Milliseconds.
+MAX_IDLE_MS = 1_000.0
+# An unanswered order may be carried out up to this much later; until then its release is repeated
+# about as often as the lease expires.  Seconds.
+LATE_EXECUTION_SECONDS = 13.0
+RELEASE_RETRY_SECONDS = 1.5
 GRANTED = 200
 
 
 class Member(NamedTuple):
-    """One engine of a group and the tokens that it is to hold; 0 if it only reads a part."""
+    """One engine of a group and the tokens that it is to hold; 0 if it only prefills a part."""
 
     server: ServerRecord
     tokens: int
 
 
-class Refused(NamedTuple):
-    """A group could not be had because of one member; ``full`` if it answered and had no room."""
+class ReservationRefused(NamedTuple):
+    """One member could not be reserved; ``full`` if it answered that it has no memory left."""
 
     server: str
     full: bool
 
 
-class Held(NamedTuple):
-    """A reservation at one engine."""
+class Reservation(NamedTuple):
+    """A reservation on one engine."""
 
     server: ServerRecord
     name: str
     tokens: int
 
 
-async def _order(gateway: Gateway, held: Held, release: bool) -> int | None:
+async def _order(gateway: Gateway, reservation: Reservation, release: bool) -> int | None:
     """Send one order; return the status of its answer, or None where there is none."""
     wire = gateway.wire
-    server = held.server.announcement
+    server = reservation.server.announcement
     if release:
-        head, body = wire.release_order(server.server, held.name)
+        head, body = wire.release_order(server.server, reservation.name)
     else:
-        head, body = wire.reserve_order(server.server, held.name, held.tokens, LEASE_MS)
+        head, body = wire.reserve_order(
+            server.server, reservation.name, reservation.tokens, LEASE_MS
+        )
     gateway.counters.count("reservation.released" if release else "reservation.ordered")
-    reply = await ask(gateway, held.server, head, body, ORDER_SECONDS, FRESH_MS)
+    reply = await ask(gateway, reservation.server, head, body, ORDER_SECONDS, MAX_IDLE_MS)
     return None if reply is None else reply.status
 
 
-def _is_gone(gateway: Gateway, held: Held) -> bool:
-    """Tell whether the engine has started anew since, and holds nothing of before.
+def _has_restarted(gateway: Gateway, reservation: Reservation) -> bool:
+    """Tell whether the engine has restarted since, and holds nothing from before.
 
-    A renewal that reached the new process would take memory there that nobody uses.
+    A renewal that reached the new process would reserve memory there that nobody uses.
     """
-    return gateway.directory.superseded(*held.server.start)
+    return gateway.directory.superseded(*reservation.server.start)
 
 
 @asynccontextmanager
 async def reserved(gateway: Gateway, name: str, members: Sequence[Member]):
-    """Hold a group's memory while the context is open; yield Refused where it cannot be had."""
+    """Reserve a group's memory while the context is open; yield ReservationRefused on failure."""
     wanted = sorted(
-        (Held(item.server, name, item.tokens) for item in members if item.tokens),
-        key=lambda held: held.server.announcement.server,
+        (Reservation(item.server, name, item.tokens) for item in members if item.tokens),
+        key=lambda reservation: reservation.server.announcement.server,
     )
-    asked: list[Held] = []
-    doubtful: set[str] = set()
+    asked: list[Reservation] = []
+    unconfirmed: set[str] = set()
     scope = trio.CancelScope()
     try:
-        for held in wanted:
-            asked.append(held)
-            status = await _order(gateway, held, release=False)
+        for reservation in wanted:
+            asked.append(reservation)
+            status = await _order(gateway, reservation, release=False)
             if status is None:
-                doubtful.add(held.server.announcement.server)
+                unconfirmed.add(reservation.server.announcement.server)
             if status != GRANTED:
                 gateway.counters.count("reservation.refused")
                 gateway.log.note(
                     "reservation.refused",
                     reservation=name,
-                    server=held.server.announcement.server,
-                    tokens=held.tokens,
+                    server=reservation.server.announcement.server,
+                    tokens=reservation.tokens,
                     status=status,
                 )
-                yield Refused(held.server.announcement.server, status is not None)
+                yield ReservationRefused(reservation.server.announcement.server, status is not None)
                 return
-        gateway.chores.start_soon(_renew_forever, gateway, wanted, doubtful, scope)
+        gateway.nursery.start_soon(_renew_forever, gateway, wanted, unconfirmed, scope)
         yield tuple(wanted)
     finally:
         scope.cancel()
-        for held in asked:
-            unsure = held.server.announcement.server in doubtful
-            gateway.chores.start_soon(_release, gateway, held, unsure)
+        for reservation in asked:
+            is_unconfirmed = reservation.server.announcement.server in unconfirmed
+            gateway.nursery.start_soon(_release, gateway, reservation, is_unconfirmed)
 
 
 async def _renew_forever(
-    gateway: Gateway, group: Sequence[Held], doubtful: set[str], scope: trio.CancelScope
+    gateway: Gateway, group: Sequence[Reservation], unconfirmed: set[str], scope: trio.CancelScope
 ) -> None:
-    """Renew the leases of a group; note who gave no answer."""
+    """Renew the leases of a group; record the members that did not answer."""
 
-    async def renew(held: Held) -> None:
-        if _is_gone(gateway, held):
+    async def renew(reservation: Reservation) -> None:
+        if _has_restarted(gateway, reservation):
             return
-        if await _order(gateway, held, release=False) is None:
-            doubtful.add(held.server.announcement.server)
+        if await _order(gateway, reservation, release=False) is None:
+            unconfirmed.add(reservation.server.announcement.server)
 
     with scope:
         while True:
             await trio.sleep(RENEW_SECONDS)
             async with trio.open_nursery() as nursery:
-                for held in group:
-                    nursery.start_soon(renew, held)
+                for reservation in group:
+                    nursery.start_soon(renew, reservation)
 
 
-async def _release(gateway: Gateway, held: Held, unsure: bool) -> None:
-    """Give memory back, again and again where an earlier order may still be carried out."""
-    last = trio.current_time() + LATE_SECONDS
-    while not _is_gone(gateway, held):
-        status = await _order(gateway, held, release=True)
-        unsure = unsure or status is None
-        if not unsure or trio.current_time() > last:
+async def _release(gateway: Gateway, reservation: Reservation, is_unconfirmed: bool) -> None:
+    """Release memory, repeatedly where an earlier order may still be carried out."""
+    last = trio.current_time() + LATE_EXECUTION_SECONDS
+    while not _has_restarted(gateway, reservation):
+        status = await _order(gateway, reservation, release=True)
+        is_unconfirmed = is_unconfirmed or status is None
+        if not is_unconfirmed or trio.current_time() > last:
             return
-        await trio.sleep(AGAIN_SECONDS)
+        await trio.sleep(RELEASE_RETRY_SECONDS)
--- a/siskinspoke/gateway/restrictions.py
+++ b/siskinspoke/gateway/restrictions.py
@@ -1,54 +1,54 @@
-"""Take in by what backend servers restrict the requests of this VM, in their answers."""
+"""Apply the restrictions that backend servers announce in their responses."""
 
 from siskinspoke.coordination.directory import ServerRecord
 from siskinspoke.gateway.context import Gateway, now_ms
 from siskinspoke.gateway.wire import Answer
 from siskinspoke.protocol.peers import RateLimitNews
 
-# From this status on an answer may come from whatever stands in for a server that fails, so it
-# takes nothing back.
-FAILED = 500
+# A response with this status or above may come from a component that stands in for a failed server,
+# so it does not lift any restriction.
+MIN_FAILURE_STATUS = 500
 
 
-def hear_answer(
-    gateway: Gateway, request_id: str, server: ServerRecord, answer: Answer, sent_at: float
+def apply_restrictions(
+    gateway: Gateway, request_id: str, server: ServerRecord, response: Answer, sent_at: float
 ) -> None:
-    """Take in what an answer asks for; one that belongs to another request is too old for it.
+    """Apply the restrictions of a response, unless it is a stale one for another request.
 
-    ``request_id`` is empty for this VM's own questions and orders.
+    ``request_id`` is empty for this VM's own status queries and orders.
     """
-    if answer.misdirected or answer.request_id not in (None, request_id):
+    if response.misdirected or response.request_id not in (None, request_id):
         return
-    for field in answer.restrictions.unreadable:
+    for field in response.restrictions.unreadable:
         gateway.counters.count(f"restrictions.unreadable.{field}")
-    _hear_rate_limit(gateway, request_id, server, answer, sent_at)
-    if answer.restrictions.back_off_ms is not None:
-        _hear_back_off(gateway, request_id, server, answer.restrictions.back_off_ms)
-    if answer.restrictions.leaving:
-        _hear_leaving(gateway, request_id, server)
+    _apply_rate_limit(gateway, request_id, server, response, sent_at)
+    if response.restrictions.back_off_ms is not None:
+        _apply_back_off(gateway, request_id, server, response.restrictions.back_off_ms)
+    if response.restrictions.leaving:
+        _apply_leaving(gateway, request_id, server)
 
 
-def _is_sound(answer: Answer) -> bool:
-    """Tell whether what an answer leaves out means that the server no longer asks for it."""
+def _lifts_omitted(response: Answer) -> bool:
+    """Return whether the absence of a restriction in a response means that it has been lifted."""
     return (
-        answer.status < FAILED
-        and answer.request_id is not None
-        and not answer.restrictions.unreadable
+        response.status < MIN_FAILURE_STATUS
+        and response.request_id is not None
+        and not response.restrictions.unreadable
     )
 
 
-def _hear_rate_limit(
-    gateway: Gateway, request_id: str, server: ServerRecord, answer: Answer, sent_at: float
+def _apply_rate_limit(
+    gateway: Gateway, request_id: str, server: ServerRecord, response: Answer, sent_at: float
 ) -> None:
-    rate, now = answer.restrictions.rate_limit, now_ms()
+    rate, now = response.restrictions.rate_limit, now_ms()
     known = gateway.rate_limits.find(server.start)
     if rate is not None:
-        is_news = gateway.rate_limits.name(server.start, rate, now)
-    elif _is_sound(answer):
-        is_news = gateway.rate_limits.lift(server.start, sent_at, now)
+        changed = gateway.rate_limits.record(server.start, rate, now)
+    elif _lifts_omitted(response):
+        changed = gateway.rate_limits.remove(server.start, sent_at, now)
     else:
         return
-    if not is_news:
+    if not changed:
         return
     gateway.peers.rate_limit(server.start, rate, now)
     name, incarnation = server.start
@@ -64,11 +64,11 @@
     )
 
 
-def _hear_back_off(
+def _apply_back_off(
     gateway: Gateway, request_id: str, server: ServerRecord, back_off_ms: float
 ) -> None:
     name, incarnation = server.start
-    gateway.back_offs.ask(server.start, back_off_ms, now_ms())
+    gateway.back_offs.add(server.start, back_off_ms, now_ms())
     gateway.counters.count("back_off.asked")
     gateway.log.note(
         "server.back_off",
@@ -79,20 +79,20 @@
     )
 
 
-def _hear_leaving(gateway: Gateway, request_id: str, server: ServerRecord) -> None:
+def _apply_leaving(gateway: Gateway, request_id: str, server: ServerRecord) -> None:
     if gateway.directory.has_left(server.announcement.server):
         return
     name, incarnation = server.start
-    gateway.directory.retire(name, incarnation)
+    gateway.directory.mark_leaving(name, incarnation)
     gateway.counters.count("server.said_leaving")
     gateway.log.note("server.leaving", server=name, start=incarnation, request=request_id)
 
 
-def hear_rate_limit(gateway: Gateway, news: RateLimitNews) -> None:
-    """Take in what another VM has been told of a server's limit."""
-    start, at = (news.server, news.incarnation), now_ms() - news.age_ms
-    if news.rate is None:
-        is_news = gateway.rate_limits.lift(start, at, at)
+def apply_peer_rate_limit(gateway: Gateway, update: RateLimitNews) -> None:
+    """Apply a server's rate limit that was reported by another VM."""
+    start, at = (update.server, update.incarnation), now_ms() - update.age_ms
+    if update.rate is None:
+        changed = gateway.rate_limits.remove(start, at, at)
     else:
-        is_news = gateway.rate_limits.name(start, news.rate, at)
-    gateway.counters.count("rate_limit.told", is_news)
+        changed = gateway.rate_limits.record(start, update.rate, at)
+    gateway.counters.count("rate_limit.told", changed)
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -1,94 +1,97 @@
-"""Which backend servers a request may go to, and what its attempts teach."""
+"""Selection of backend servers for a request, and evaluation of its failed attempts."""
 
 from siskinspoke.coordination.directory import ServerRecord
-from siskinspoke.coordination.standing import Trouble
+from siskinspoke.coordination.server_health import FailureKind
 from siskinspoke.gateway.context import Gateway, Request, now_ms
-from siskinspoke.gateway.sending import not_held, opens_in_ms, unlimited
-from siskinspoke.gateway.upstream import Broke, NotRun
+from siskinspoke.gateway.holds import hold_ends_in_ms, without_hold, without_rate_limit
+from siskinspoke.gateway.upstream import NotRun, OutcomeUnknown
 
-# A server in another failure domain costs two crossings more, about 3 ms.
-REMOTE_MS = 3.0
-# Part of its target that a request may wait for a permit.
-PERMIT_SHARE = 0.5
+# Extra latency of a server in another failure domain: two more network crossings.
+REMOTE_DOMAIN_MS = 3.0
+# Fraction of its target latency that a request may wait for a permit.
+PERMIT_WAIT_FRACTION = 0.5
 
 
 def choose_service(gateway: Gateway, request: Request) -> str:
-    """Return one service of the route, by weight, among those that have servers."""
+    """Return a service of the route, chosen at random by weight among those that have servers."""
     now = now_ms()
     shares = [share for share in request.route.shares if share.weight > 0]
-    served = [share for share in shares if gateway.directory.is_served(share.service, now)]
+    served = [share for share in shares if gateway.directory.has_live_server(share.service, now)]
     if len(served) > 1:
-        open_now = [share for share in served if opens_in_ms(gateway, share.service) is None]
+        open_now = [share for share in served if hold_ends_in_ms(gateway, share.service) is None]
         served = open_now or served
     chosen = gateway.rng.choices(served or shares, [share.weight for share in served or shares])
     return chosen[0].service
 
 
 def candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
-    """Return the servers that may get a request now, those that stood up best alone."""
-    known = gateway.directory.believed(service, now_ms())
-    return _usable(gateway, not_held(gateway, known), excluded)
+    """Return the servers that may get a request now, restricted to the healthiest."""
+    known = gateway.directory.routable(service, now_ms())
+    return _usable(gateway, without_hold(gateway, known), excluded)
 
 
 def cell_candidates(gateway: Gateway, service: str, excluded: set[str]) -> list[ServerRecord]:
-    """Return the servers in this VM's books that may get a request now."""
-    mine = gateway.cells.servers(service)
-    known = gateway.directory.believed_among(mine, now_ms())
-    return _usable(gateway, not_held(gateway, known), excluded)
+    """Return the servers of this VM's cell that may get a request now."""
+    servers = gateway.cells.servers(service)
+    known = gateway.directory.routable_among(servers, now_ms())
+    return _usable(gateway, without_hold(gateway, known), excluded)
 
 
 def reachable(gateway: Gateway, records: list[ServerRecord]) -> list[ServerRecord]:
-    """Return those that this VM can reach, as far as it knows.
+    """Return the servers that are reachable from this VM as far as it knows.
 
-    Where too many cannot be reached some of them may get requests all the same, but none that
-    would have to leave a server for it.
+    If too many are unreachable, some of them may still get requests, but a request is never moved
+    away from another server to one of them.
     """
     now = now_ms()
     return [
         record
         for record in records
-        if not gateway.standing.is_unreachable(record.announcement.server)
-        and not gateway.domains.is_cut(record.announcement.failure_domain, now)
+        if not gateway.server_health.is_unreachable(record.announcement.server)
+        and not gateway.domains.is_cut_off(record.announcement.failure_domain, now)
     ]
 
 
 def reachable_unlimited(gateway: Gateway, records: list[ServerRecord]) -> list[ServerRecord]:
-    """Return the servers for which a request may leave another one."""
-    return reachable(gateway, unlimited(gateway, records))
+    """Return the servers to which a request may be moved from another server."""
+    return reachable(gateway, without_rate_limit(gateway, records))
 
 
-def permit_patience_ms(gateway: Gateway, request: Request, server: ServerRecord) -> float:
-    """Return how long a request may wait for a permit: not at all where another server needs none.
+def max_permit_wait_ms(gateway: Gateway, request: Request, server: ServerRecord) -> float:
+    """Return how long a request may wait for a permit; 0 if another server needs no permit.
 
-    Beyond a part of its target it is refused instead, and may go to another VM in time.
+    The wait is limited to a fraction of the target latency. After that the request is refused, in
+    time for the client to try another VM.
     """
     if gateway.rate_limits.find(server.start) is None:
         return 0.0
     records = candidates(gateway, request.service, {server.announcement.server})
     if reachable_unlimited(gateway, records):
         return 0.0
-    return max(0.0, PERMIT_SHARE * request.route.target_ms - (now_ms() - request.arrived_ms))
+    return max(
+        0.0, PERMIT_WAIT_FRACTION * request.route.target_ms - (now_ms() - request.arrived_ms)
+    )
 
 
 def _usable(
     gateway: Gateway, records: list[ServerRecord], excluded: set[str]
 ) -> list[ServerRecord]:
     now = now_ms()
-    by_name = {record.announcement.server: record for record in _one_an_address(records)}
+    by_name = {record.announcement.server: record for record in _latest_per_address(records)}
     for name in excluded:
         by_name.pop(name, None)
-    reached = {
+    reachable = {
         name: record
         for name, record in by_name.items()
-        if not gateway.domains.is_cut(record.announcement.failure_domain, now)
+        if not gateway.domains.is_cut_off(record.announcement.failure_domain, now)
     }
-    by_name = reached or by_name
-    usable = gateway.standing.usable(by_name, now)
+    by_name = reachable or by_name
+    usable = gateway.server_health.available(by_name, now)
     return [by_name[name] for name in usable]
 
 
-def _one_an_address(records: list[ServerRecord]) -> list[ServerRecord]:
-    """Keep the server that was heard of last at each address: the others there are gone."""
+def _latest_per_address(records: list[ServerRecord]) -> list[ServerRecord]:
+    """Keep only the most recently announced server at each address; the others are gone."""
     latest: dict[tuple[str, int], ServerRecord] = {}
     for record in records:
         address = (record.announcement.host, record.announcement.port)
@@ -99,34 +102,36 @@
 
 
 def least_loaded(gateway: Gateway, records: list[ServerRecord]) -> ServerRecord:
-    """Return the server at which a request would end soonest, of two drawn by lot or of few.
+    """Return the server expected to finish a request soonest.
 
-    With few servers all are compared; with many, two by lot, so that VMs which know the same
-    do not all choose the same.
+    With up to four servers, all are compared. With more, two random ones are compared, so that VMs
+    with the same information do not all choose the same server.
     """
     now = now_ms()
     names = [record.announcement.server for record in records]
-    usual = gateway.standing.usual_ms(names, now)
+    typical_ms = gateway.server_health.median_latency_ms(names, now)
     compared = records if len(records) <= 4 else gateway.rng.sample(records, 2)
     shuffled = gateway.rng.sample(compared, len(compared))
     return min(
         shuffled,
-        key=lambda record: gateway.standing.load_ms(record.announcement.server, now, usual),
+        key=lambda record: gateway.server_health.expected_ms(
+            record.announcement.server, now, typical_ms
+        ),
     )
 
 
-def learn(
-    gateway: Gateway, request: Request, record: ServerRecord, outcome: NotRun | Broke
+def record_failure(
+    gateway: Gateway, request: Request, record: ServerRecord, outcome: NotRun | OutcomeUnknown
 ) -> None:
-    """Take in what a failed attempt shows of a server."""
+    """Update the state of a server after a failed attempt."""
     now = now_ms()
     server, incarnation = record.start
-    gateway.counters.count(f"attempt.{outcome.trouble.value}")
-    if outcome.trouble is Trouble.HELD:
+    gateway.counters.count(f"attempt.{outcome.failure_kind.value}")
+    if outcome.failure_kind is FailureKind.HELD:
         request.held.append(server)
         return
-    request.note(server, outcome.reason, now)
-    if isinstance(outcome, Broke):
+    request.record_attempt(server, outcome.reason, now)
+    if isinstance(outcome, OutcomeUnknown):
         gateway.log.note(
             "attempt.broke",
             request=request.call.id,
@@ -138,35 +143,39 @@
             leaving=gateway.directory.has_left(server),
         )
     if gateway.directory.superseded(server, incarnation):
-        # The process that failed is gone, and the new one has not.
+        # The failed process is gone; its failure says nothing about the new one.
         return
-    if isinstance(outcome, NotRun) and outcome.trouble is Trouble.UNREACHABLE and outcome.arrived:
-        gateway.directory.retire(server, incarnation)
+    if (
+        isinstance(outcome, NotRun)
+        and outcome.failure_kind is FailureKind.UNREACHABLE
+        and outcome.arrived
+    ):
+        gateway.directory.mark_leaving(server, incarnation)
         gateway.log.note("server.misdirected", server=server, request=request.call.id)
         return
-    faulty, trouble = server, outcome.trouble
+    faulty, trouble = server, outcome.failure_kind
     if isinstance(outcome, NotRun) and outcome.member is not None:
         faulty = outcome.member
     if isinstance(outcome, NotRun) and outcome.at_fault is not None:
-        faulty = _at(gateway, outcome.at_fault) or server
-        # This VM may well reach it, so a look would prove nothing.
-        trouble = Trouble.SILENT
-    was_aside = gateway.standing.is_aside(faulty, now)
-    gateway.standing.failed(faulty, trouble, now)
-    if gateway.standing.is_aside(faulty, now) and not was_aside:
+        faulty = _server_at(gateway, outcome.at_fault) or server
+        # This VM may well reach that server, so a probe from here would prove nothing.
+        trouble = FailureKind.SILENT
+    was_excluded = gateway.server_health.is_ejected(faulty, now)
+    gateway.server_health.record_failure(faulty, trouble, now)
+    if gateway.server_health.is_ejected(faulty, now) and not was_excluded:
         gateway.log.note(
             "server.aside",
             server=faulty,
             request=request.call.id,
             trouble=trouble.value,
-            failure_share=round(gateway.standing.failure_share(faulty), 2),
+            failure_share=round(gateway.server_health.failure_share(faulty), 2),
         )
 
 
-def _at(gateway: Gateway, address: str) -> str | None:
+def _server_at(gateway: Gateway, address: str) -> str | None:
     """Return the server at an address."""
-    for record in gateway.directory.all_known():
-        said = record.announcement
-        if f"{said.host}:{said.port}" == address and not said.leaving:
-            return said.server
+    for record in gateway.directory.all_records():
+        announcement = record.announcement
+        if f"{announcement.host}:{announcement.port}" == address and not announcement.leaving:
+            return announcement.server
     return None
--- a/siskinspoke/loadgen/mixes.py
+++ b/siskinspoke/loadgen/mixes.py
@@ -1,4 +1,4 @@
-"""Seeded mixes of requests like those of the two users."""
+"""Seeded traffic mixes modelled on the two example sites."""
 
 import random
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 
 
 class LengthBand(NamedTuple):
-    """A share of requests whose prompts lie between two lengths, in tokens."""
+    """A share of requests with its ranges of prompt and output lengths, in tokens."""
 
     share: float
     low: int
@@ -16,31 +16,32 @@
 
 
 class Mix(NamedTuple):
-    """What one user's traffic looks like.
+    """The traffic of one site.
 
-    ``shared`` is the part of a prompt that customers reuse, ``large`` the share of traffic of
-    the few large customers, ``calls`` the share of calls to the plain service.
+    ``shared_prefix_share`` is the fraction of a prompt that a customer's requests have in common,
+    ``large_customer_share`` the share of traffic from the first ``large_customers`` customers, and
+    ``call_share`` the share of plain service calls.
     """
 
     name: str
     bands: tuple[LengthBand, ...]
     customers: tuple[str, ...]
     large_customers: int
-    large: float
-    shared: float
-    calls: float
+    large_customer_share: float
+    shared_prefix_share: float
+    call_share: float
 
 
 class Arrival(NamedTuple):
-    """One request of the open-loop schedule; ``at`` is seconds from the start."""
+    """A request in the open-loop schedule; ``due_seconds`` counts from the start."""
 
-    at: float
+    due_seconds: float
     number: int
     customer: str
     prompt_tokens: int
     max_tokens: int
     template: int
-    call: bool
+    is_call: bool
 
 
 _BANDS_PARANA = (
@@ -71,24 +72,24 @@
 
 
 def draw_length(mix: Mix, rng: random.Random) -> tuple[int, int]:
-    """Return prompt and output tokens of one request."""
+    """Return random prompt and output lengths, in tokens."""
     weights = [band.share for band in mix.bands]
     band = rng.choices(mix.bands, weights)[0]
-    # Uniform in the logarithm, so that a band is not all near its upper end.
+    # Log-uniform, so that lengths are not concentrated near the upper bound of a band.
     ratio = band.high / band.low
     prompt = int(band.low * ratio ** rng.random())
     return prompt, rng.randint(band.low_output, band.high_output)
 
 
 def draw_customer(mix: Mix, rng: random.Random) -> str:
-    """Return a customer; a few large ones send most of the traffic."""
-    if rng.random() < mix.large:
+    """Return a random customer; a few large ones send most of the traffic."""
+    if rng.random() < mix.large_customer_share:
         return mix.customers[rng.randrange(mix.large_customers)]
     return rng.choice(mix.customers)
 
 
 def arrivals(mix: Mix, rate: float, count: int, seed: int) -> Iterator[Arrival]:
-    """Yield a Poisson schedule of ``count`` requests at ``rate`` a second."""
+    """Yield a Poisson schedule of ``count`` requests at ``rate`` per second."""
     rng = random.Random(seed)
     at = 0.0
     for number in range(count):
@@ -101,11 +102,11 @@
             prompt,
             output,
             rng.randrange(4),
-            rng.random() < mix.calls,
+            rng.random() < mix.call_share,
         )
 
 
 def mean_prompt_tokens(mix: Mix, seed: int = 1, samples: int = 20_000) -> float:
-    """Return the mean prompt length of a mix, by sampling."""
+    """Estimate the mean prompt length of a mix by sampling."""
     rng = random.Random(seed)
     return sum(draw_length(mix, rng)[0] for _ in range(samples)) / samples
--- a/siskinspoke/management/commands/check.py
+++ b/siskinspoke/management/commands/check.py
@@ -1,16 +1,16 @@
-"""Report every fault of a base file and an overlay before anything is applied."""
+"""Validate a base file and an overlay without applying them."""
 
 from absl import flags
 
 from siskinspoke.conf import load_files
-from siskinspoke.core.codes import FACTS, ResultCode
+from siskinspoke.core.codes import CODE_INFO, ResultCode
 from siskinspoke.management.base import emit
 
 FLAGS = flags.FLAGS
 
 
 def handle(_arguments: list[str]) -> int:
-    """Print all faults at once; the exit code is 0 if there is none."""
+    """Print all faults; the exit code is 0 if there are none."""
     loaded = load_files(FLAGS.base, FLAGS.overlay)
     if loaded.is_ok():
         document = loaded.ok
@@ -24,4 +24,4 @@
     faults = loaded.error
     text = "\n".join([*(str(fault) for fault in faults), f"{len(faults)} faults"])
     emit({"faults": [fault._asdict() for fault in faults]}, text)
-    return FACTS[ResultCode.INVALID_SETTINGS].exit_code
+    return CODE_INFO[ResultCode.INVALID_SETTINGS].exit_code
--- a/siskinspoke/platform/calls.py
+++ b/siskinspoke/platform/calls.py
@@ -1,10 +1,10 @@
-"""Decode callers' requests and servers' answers, and encode what is sent to both."""
+"""Decode client requests and server responses, and encode the messages sent to either."""
 
 import msgspec
 from expression import Error, Ok, Result
 
 from siskinspoke.coordination.routes import RouteTable
-from siskinspoke.core.codes import FACTS, Failure, ResultCode
+from siskinspoke.core.codes import CODE_INFO, Failure, ResultCode
 from siskinspoke.gateway.wire import (
     Answer,
     Call,
@@ -15,61 +15,61 @@
     Restrictions,
 )
 from siskinspoke.platform import configuration, names, orders
-from siskinspoke.protocol.decimals import decimal
-from siskinspoke.transport.http1 import AnswerHead, Headers, RequestHead
+from siskinspoke.protocol.decimals import parse_decimal
+from siskinspoke.transport.http1 import Headers, RequestHead, ResponseHead
 
 NEVER_RAN_STATUSES = frozenset({421})
-MISDIRECTED = 421
-# With these a server may say when it wants requests of this VM again.
-TURNED_AWAY_STATUSES = frozenset({429, 503})
-MOST_RANK = 9
+MISDIRECTED_STATUS = 421
+# Statuses with which a server may say when it will accept requests from this VM again.
+BACK_OFF_STATUSES = frozenset({429, 503})
+LOWEST_PRIORITY = 9
 
 
-def _first(headers: Headers, name: bytes) -> str | None:
-    wanted = name.lower()
+def _first_header(headers: Headers, name: bytes) -> str | None:
+    lowered = name.lower()
     for found, value in headers:
-        if found.lower() == wanted:
+        if found.lower() == lowered:
             return value.decode("latin-1")
     return None
 
 
-def _number(text: str | None) -> float | None:
+def _parse_float(text: str | None) -> float | None:
     try:
         return float(text) if text is not None else None
     except ValueError:
         return None
 
 
-def _prompt(headers: Headers) -> Prompt | None:
-    text = _first(headers, names.TOKEN_COUNTS)
+def _parse_prompt(headers: Headers) -> Prompt | None:
+    text = _first_header(headers, names.TOKEN_COUNTS)
     if text is None:
         return None
     try:
-        tokens, most = text.split(",")
-        return Prompt(int(tokens), int(most))
+        tokens, max_tokens = text.split(",")
+        return Prompt(int(tokens), int(max_tokens))
     except ValueError:
         return None
 
 
-def _helper(helper: Helper) -> str:
+def _format_helper(helper: Helper) -> str:
     address = f"{helper.host}:{helper.port}"
     return f"{address}/{helper.reservation}" if helper.reservation else address
 
 
 class PlatformWire:
-    """The platform's formats on the way of a request."""
+    """Encode and decode the platform's formats for requests, responses and engine orders."""
 
     def decode_call(self, head: RequestHead, body: bytes) -> Result[Call, Failure]:
-        """Return the call that a client's request holds."""
-        call_id = _first(head.headers, names.REQUEST_ID)
+        """Decode a client's request."""
+        call_id = _first_header(head.headers, names.REQUEST_ID)
         if call_id is None:
             return Error(Failure(ResultCode.INVALID_FIELD, "the request has no id"))
-        named_here = {
+        connection_options = {
             word.strip().lower().encode()
-            for word in (_first(head.headers, b"Connection") or "").split(",")
+            for word in (_first_header(head.headers, b"Connection") or "").split(",")
         }
-        dropped = names.ONE_CONNECTION | names.SET_HERE | named_here
-        kept = [
+        dropped = names.HOP_BY_HOP | names.SYSTEM_ONLY | connection_options
+        forwarded = [
             (name, value)
             for name, value in head.headers
             if name.lower() not in dropped
@@ -80,27 +80,27 @@
                 id=call_id,
                 method=head.method,
                 target=head.target,
-                host=(_first(head.headers, b"Host") or "").lower(),
-                headers=kept,
+                host=(_first_header(head.headers, b"Host") or "").lower(),
+                headers=forwarded,
                 body=body,
-                deadline_ms=_number(_first(head.headers, names.DEADLINE)),
-                key=_first(head.headers, names.API_KEY) or "",
-                prompt=_prompt(head.headers),
-                resume_after=_first(head.headers, names.LAST_EVENT),
+                deadline_ms=_parse_float(_first_header(head.headers, names.DEADLINE)),
+                key=_first_header(head.headers, names.API_KEY) or "",
+                prompt=_parse_prompt(head.headers),
+                resume_after=_first_header(head.headers, names.LAST_EVENT),
             )
         )
 
     def encode_dispatch(self, dispatch: Dispatch) -> RequestHead:
-        """Return the request that a server gets."""
+        """Encode a request for a backend server."""
         call = dispatch.call
         headers = list(call.headers)
         headers.append((names.DEADLINE, b"%d" % max(1, int(dispatch.left_ms))))
         headers.append((names.EXPECTED_SERVER, dispatch.server.encode()))
-        headers.append((names.RANK, b"%d" % min(MOST_RANK, dispatch.rank)))
+        headers.append((names.PRIORITY, b"%d" % min(LOWEST_PRIORITY, dispatch.rank)))
         if dispatch.customer is not None:
             headers.append((names.CUSTOMER, dispatch.customer.encode()))
         if dispatch.helpers:
-            helpers = ",".join(_helper(item) for item in dispatch.helpers)
+            helpers = ",".join(_format_helper(item) for item in dispatch.helpers)
             headers.append((names.HELPERS, helpers.encode()))
         if dispatch.resume_after is not None:
             headers.append((names.LAST_EVENT, dispatch.resume_after.encode("latin-1")))
@@ -108,82 +108,82 @@
             headers.append((b"Content-Length", b"%d" % len(call.body)))
         return RequestHead(call.method, call.target, headers)
 
-    def decode_answer(self, head: AnswerHead) -> Answer:
-        """Return what a server's answer means."""
-        connection = (_first(head.headers, b"Connection") or "").lower()
-        kept = [
+    def decode_answer(self, head: ResponseHead) -> Answer:
+        """Decode the response head of a backend server."""
+        connection = (_first_header(head.headers, b"Connection") or "").lower()
+        forwarded = [
             (name, value)
             for name, value in head.headers
-            if name.lower() not in names.ONE_CONNECTION and name.lower() != b"content-length"
+            if name.lower() not in names.HOP_BY_HOP and name.lower() != b"content-length"
         ]
-        never_ran = _first(head.headers, names.NOT_RUN) is not None
+        never_ran = _first_header(head.headers, names.NOT_RUN) is not None
         return Answer(
             status=head.status,
-            headers=kept,
-            request_id=_first(head.headers, names.REQUEST_ID),
+            headers=forwarded,
+            request_id=_first_header(head.headers, names.REQUEST_ID),
             never_ran=never_ran or head.status in NEVER_RAN_STATUSES,
-            misdirected=head.status == MISDIRECTED,
-            at_fault=_first(head.headers, names.AT_FAULT),
+            misdirected=head.status == MISDIRECTED_STATUS,
+            at_fault=_first_header(head.headers, names.FAULTY_SERVER),
             closes="close" in connection,
-            idle_seconds=_idle_seconds(_first(head.headers, b"Keep-Alive")),
+            idle_seconds=_parse_idle_seconds(_first_header(head.headers, b"Keep-Alive")),
             framed=head.framed,
-            restrictions=_restrictions(head.status, head.headers),
+            restrictions=_parse_restrictions(head.status, head.headers),
         )
 
-    def own_answer(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
-        """Return the answer that a failure of this system's own gets."""
+    def encode_failure(self, call_id: str, failure: Failure) -> tuple[int, Headers, bytes]:
+        """Encode the response for a failure that originates in this system."""
         body = msgspec.json.encode(failure.to_document())
         headers = [(b"Content-Type", b"application/json")]
         if call_id:
             headers.append((names.REQUEST_ID, call_id.encode("latin-1")))
         if failure.retry_after_ms is not None:
             headers.append((names.RETRY_AFTER, b"%.3f" % (failure.retry_after_ms / 1000)))
-        return FACTS[failure.code].status, headers, body
+        return CODE_INFO[failure.code].status, headers, body
 
     def reserve_order(
         self, server: str, name: str, tokens: int, lease_ms: int
     ) -> tuple[RequestHead, bytes]:
-        """Return the order that reserves an engine's memory, or renews a reservation."""
+        """Return the order that reserves memory of an engine, or renews a reservation."""
         return orders.reserve_order(server, name, tokens, lease_ms)
 
     def report_request(self, server: str) -> RequestHead:
-        """Return the question to an engine how it is."""
+        """Return the request for an engine's status report."""
         return orders.report_request(server)
 
     def decode_report(self, status: int, body: bytes) -> EngineReport | None:
-        """Return what an engine says of itself, or None if it cannot be read."""
+        """Decode the status report of an engine; return None if it is invalid."""
         return orders.decode_report(status, body)
 
     def release_order(self, server: str, name: str) -> tuple[RequestHead, bytes]:
-        """Return the order that gives a reservation back."""
+        """Return the order that releases a reservation."""
         return orders.release_order(server, name)
 
-    def table_from(self, document: dict) -> Result[RouteTable, Failure]:
-        """Return the route table of a configuration."""
+    def decode_configuration(self, document: dict) -> Result[RouteTable, Failure]:
+        """Decode a configuration into a route table."""
         return configuration.table_from(document)
 
 
-def _restrictions(status: int, headers: Headers) -> Restrictions:
-    """Return what a server asks of its callers."""
-    rate_limit = _first(headers, names.RATE_LIMIT)
-    rest = _first(headers, names.RETRY_AFTER) if status in TURNED_AWAY_STATUSES else None
-    wanted = {"rate_limit": rate_limit, "back_off": rest}
+def _parse_restrictions(status: int, headers: Headers) -> Restrictions:
+    """Decode the restrictions that a server imposes on its callers."""
+    rate_limit = _first_header(headers, names.RATE_LIMIT)
+    retry_after = _first_header(headers, names.RETRY_AFTER) if status in BACK_OFF_STATUSES else None
+    texts = {"rate_limit": rate_limit, "back_off": retry_after}
     unreadable = tuple(
-        name for name, text in wanted.items() if text is not None and decimal(text) is None
+        name for name, text in texts.items() if text is not None and parse_decimal(text) is None
     )
-    seconds = decimal(rest)
+    seconds = parse_decimal(retry_after)
     return Restrictions(
-        rate_limit=decimal(rate_limit),
+        rate_limit=parse_decimal(rate_limit),
         back_off_ms=None if seconds is None else seconds * 1000,
-        leaving=_first(headers, names.LEAVING) == "1",
+        leaving=_first_header(headers, names.LEAVING) == "1",
         unreadable=unreadable,
     )
 
 
-def _idle_seconds(text: str | None) -> float | None:
-    """Return how long a kept connection lasts, from a Keep-Alive header."""
+def _parse_idle_seconds(text: str | None) -> float | None:
+    """Return the idle timeout of a connection from a Keep-Alive header."""
     for part in (text or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout":
-            return _number(value)
+            return _parse_float(value)
     return None
--- a/siskinspoke/state/replica_store.py
+++ b/siskinspoke/state/replica_store.py
@@ -1,4 +1,4 @@
-"""What a control replica keeps in its data folder: identity and journal.
+"""Data folder of a control replica, which contains its identity and journal.
 
 The snapshot, if any, is the first record of the journal. Earlier versions stored it in a separate
 file, which is still read if the journal contains no snapshot.
@@ -9,7 +9,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from siskinspoke.coordination.replica_types import Restored, restored_from
+from siskinspoke.coordination.replica_types import RestoredState, restore_state
 from siskinspoke.core.codes import Failure, FailureError, ResultCode
 from siskinspoke.protocol import decode_message, encode_message
 from siskinspoke.protocol.replication import (
@@ -21,7 +21,7 @@
     Identity,
     Snapshot,
 )
-from siskinspoke.state.files import read_checked, storage_error, write_atomically
+from siskinspoke.state.files import read_verified, storage_error, write_atomically
 from siskinspoke.state.journal import Journal, open_journal
 
 IDENTITY_FILE, SNAPSHOT_FILE, JOURNAL_FILE = "identity.json", "snapshot.json", "journal"
@@ -30,18 +30,18 @@
 
 
 class ReplicaStore:
-    """Own the data folder of one control replica."""
+    """Write the data folder of one control replica."""
 
     def __init__(self, folder: Path, journal: Journal):
         self._folder = folder
         self._journal = journal
 
     def save_identity(self, identity: Identity) -> None:
-        """Write whose folder this is."""
+        """Store the identity of the replica that owns the folder."""
         write_atomically(self._folder / IDENTITY_FILE, msgspec.json.encode(identity))
 
     def append(self, records: list[Record]) -> None:
-        """Make records last."""
+        """Append records to the journal and sync them."""
         self._journal.append(encode_message(record) for record in records)
 
     def save_snapshot(self, snapshot: Snapshot, records: list[Record]) -> None:
@@ -57,19 +57,19 @@
         self._journal.close()
 
 
-def _must(result: Result) -> bytes | None:
+def _unwrap(result: Result) -> bytes | None:
     if result.is_error():
         raise FailureError(result.error)
     return result.ok
 
 
 def _read_identity(folder: Path, name: str) -> Identity | None:
-    body = _must(read_checked(folder / IDENTITY_FILE))
+    body = _unwrap(read_verified(folder / IDENTITY_FILE))
     if body is None:
         return None
     identity = msgspec.json.decode(body, type=Identity)
     if identity.name != name:
-        message = f"{folder}: is the folder of {identity.name}, not of {name}"
+        message = f"{folder}: data folder belongs to {identity.name}, not to {name}"
         raise FailureError(Failure(ResultCode.FOREIGN_FOLDER, message))
     return identity
 
@@ -81,22 +81,22 @@
     return decoded.ok
 
 
-def _restore(folder: Path, name: str, bodies: list[bytes]) -> Restored:
+def _restore(folder: Path, name: str, bodies: list[bytes]) -> RestoredState:
     identity = _read_identity(folder, name)
     records = [_decode(item, folder / JOURNAL_FILE) for item in bodies]
     snapshot = None
     if not any(isinstance(record, Checkpoint) for record in records):
-        body = _must(read_checked(folder / SNAPSHOT_FILE))
+        body = _unwrap(read_verified(folder / SNAPSHOT_FILE))
         snapshot = None if body is None else _decode(body, folder / SNAPSHOT_FILE)
-    restored = restored_from(identity, snapshot, records)
+    restored = restore_state(identity, snapshot, records)
     if identity is None and (restored.entries or restored.snapshot is not None):
-        message = f"{folder}: a log without an identity; empty the folder to start anew"
+        message = f"{folder}: log without an identity; empty the folder to start as a new replica"
         raise FailureError(Failure(ResultCode.JOURNAL_CORRUPT, message))
     return restored
 
 
-def open_store(path: str, name: str) -> Result[tuple[ReplicaStore, Restored], Failure]:
-    """Open a data folder and return what its replica had promised."""
+def open_store(path: str, name: str) -> Result[tuple[ReplicaStore, RestoredState], Failure]:
+    """Open or create a data folder and return its store and the replica's restored state."""
     folder = Path(path)
     try:
         folder.mkdir(parents=True, exist_ok=True)
--- a/siskinspoke/testing/mutants.py
+++ b/siskinspoke/testing/mutants.py
@@ -1,6 +1,6 @@
-"""Run the program with one guard switched off, to show that its proof then fails.
+"""Run the program with one safety check disabled, to show that its test then fails.
 
-``slow_syncs`` leaves all guards on and simulates a slow disk.
+``slow_syncs`` leaves all checks enabled and simulates a slow disk.
 
 Usage: python -m siskinspoke.testing.mutants NAME COMMAND [FLAGS]
 """
@@ -12,7 +12,7 @@
 
 from expression import Ok
 
-from siskinspoke.coordination.configuration import ConfigurationHolder, InForce
+from siskinspoke.coordination.configuration import ActiveConfiguration, ConfigurationHolder
 from siskinspoke.coordination.directory import Directory
 from siskinspoke.entry import calls, claiming
 from siskinspoke.entry.backend import Backend
@@ -34,7 +34,7 @@
 
 
 def any_incarnation() -> None:
-    """Believe a restarted server about what it ran before."""
+    """Accept a restarted server's answer about calls that its previous incarnation ran."""
     original = Backend.post
 
     async def post(self, target, path, body, *rest):
@@ -45,16 +45,16 @@
 
 
 def unknown_is_not_run() -> None:
-    """Take a call that broke off for one that never began."""
+    """Treat a call with an unknown outcome as one that was never started."""
 
-    async def find_out(context, target, request, attempt):
+    async def confirm_never_began(context, target, request, attempt):
         return True
 
-    calls.find_out = find_out
+    calls.confirm_never_began = confirm_never_began
 
 
 def any_version() -> None:
-    """Ask for any version and install whatever a control replica offers."""
+    """Request any configuration version and install whatever a control replica returns."""
     original = ControlClient.configuration_after
 
     async def configuration_after(self, version, wait_ms):
@@ -62,7 +62,7 @@
 
     def install(self, version, document, source):
         current = self._in_force
-        self._in_force = InForce(version, current.configuration, document, source)
+        self._in_force = ActiveConfiguration(version, current.configuration, document, source)
         return True
 
     ConfigurationHolder.install = install
@@ -70,32 +70,32 @@
 
 
 def no_lease() -> None:
-    """Keep sending to servers that announce themselves no more."""
+    """Keep routing to servers whose announcement lease has expired."""
     Directory._is_live = lambda self, record, now: not record.announcement.leaving
 
 
 def leaving_unheard() -> None:
-    """Overlook that a server leaves."""
-    original = Directory.hear
+    """Ignore the leaving flag in servers' announcements."""
+    original = Directory.apply
 
     def hear(self, announcement, now):
         return original(self, announcement._replace(leaving=False), now)
 
-    Directory.hear = hear
+    Directory.apply = hear
 
 
 def no_engine_lease() -> None:
-    """Let attempts and reservations outlive their owners."""
+    """Never expire the leases of attempts and reservations at an engine."""
     EngineModel.expire = lambda self, now: None
 
 
 def frozen_is_busy() -> None:
-    """Wait for a silent server for as long as its connection stands."""
+    """Wait for a silent server for as long as its connection is open."""
     EntryContext.is_alive = lambda self, target: True
 
 
 def slow_syncs() -> None:
-    """Delay the return of every file sync, as on a slow disk."""
+    """Delay the return of every fsync and fdatasync, as on a slow disk."""
 
     def add_delay(sync: Callable[[int], None]) -> Callable[[int], None]:
         def delayed_sync(descriptor: int) -> None:
--- a/siskinspoke/testing/site.py
+++ b/siskinspoke/testing/site.py
@@ -1,4 +1,4 @@
-"""Write settings for a small test site on loopback addresses, one address per VM."""
+"""Write settings for a small test site on loopback addresses, with one address per VM."""
 
 import hashlib
 from pathlib import Path
@@ -6,27 +6,27 @@
 
 import msgspec
 
-from siskinspoke.testing.fleet import EngineSpec, write_keys
-from siskinspoke.testing.proxy import Endpoint, front
+from siskinspoke.testing.fleet import ServerSpec, write_keys
+from siskinspoke.testing.proxy import Endpoint, proxy_address
 
 DOMAINS = ("sala-a", "sala-b", "anexo")
 PUBLIC_PORT, INTERNAL_PORT, CONTROL_PORT, LINK_PORT, SERVER_PORT = 8400, 8401, 8402, 8403, 8500
 
 
 class SiteFiles(NamedTuple):
-    """Where the settings of a test site lie."""
+    """The settings files of a test site."""
 
     base: Path
     overlay: Path
 
 
 def customer_key(name: str) -> str:
-    """Return the key that a customer of a test or demonstration site uses."""
+    """Return the API key of a customer of a test or demonstration site."""
     return f"demo-key-{name}"
 
 
 def customer(name: str, weight: float = 1.0, priority: str = "standard") -> dict:
-    """Return the settings of a customer with its test key."""
+    """Return the settings of a customer, with the hash of its API key."""
     digest = hashlib.sha256(customer_key(name).encode()).hexdigest()
     return {"key_sha256": digest, "weight": weight, "priority": priority}
 
@@ -37,7 +37,7 @@
 
 
 def site_document(net: int, folder: Path, entries_per_domain: int = 1, **changes) -> dict:
-    """Return an overlay with entry VMs and one control replica in each failure domain."""
+    """Return a settings overlay with entry VMs and one control replica in each failure domain."""
     entries = [
         {
             "name": f"entry-{domain}-{number}",
@@ -76,7 +76,7 @@
 
 
 def write_site(net: int, folder: Path, **changes) -> SiteFiles:
-    """Write base file, overlay and keys of a test site into a folder."""
+    """Write the base settings, the overlay and the keys of a test site into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     write_keys(folder / "keys")
     base = folder / "base.json"
@@ -90,10 +90,10 @@
     return SiteFiles(base, overlay)
 
 
-def write_views(folder: Path, document: dict) -> list[Endpoint]:
-    """Write each VM's settings for a site behind the proxy, and return what it must front.
+def write_vm_overlays(folder: Path, document: dict) -> list[Endpoint]:
+    """Write an overlay for each VM of a site behind the proxy; return the endpoints to proxy.
 
-    A VM knows its own address; it sees every other one at the proxy's.
+    A VM's overlay has its own real address, and the proxy addresses of all others.
     """
     endpoints = [
         Endpoint(item["host"], (item["port"],), (item["internal_port"],))
@@ -105,33 +105,33 @@
     for section in ("entries", "controls"):
         for item in document[section]:
             view = document | {
-                part: [_seen_from(item["name"], other) for other in document[part]]
+                part: [_settings_for_viewer(item["name"], other) for other in document[part]]
                 for part in ("entries", "controls")
             }
             (folder / f"view-{item['name']}.json").write_bytes(msgspec.json.encode(view))
     return endpoints
 
 
-def _seen_from(viewer: str, item: dict) -> dict:
-    return item if item["name"] == viewer else item | {"host": front(item["host"])}
+def _settings_for_viewer(viewer: str, item: dict) -> dict:
+    return item if item["name"] == viewer else item | {"host": proxy_address(item["host"])}
 
 
-def proxied(spec: EngineSpec) -> EngineSpec:
-    """Return a backend server that announces the proxy's address for it."""
-    return spec._replace(advertise_host=front(spec.host))
+def with_proxy_address(spec: ServerSpec) -> ServerSpec:
+    """Return the spec of a backend server that announces its proxy address."""
+    return spec._replace(advertise_host=proxy_address(spec.host))
 
 
-def engine(net: int, domain: int, number: int, *flags: str) -> EngineSpec:
-    """Return a stand-in engine of the test site."""
+def engine(net: int, domain: int, number: int, *flags: str) -> ServerSpec:
+    """Return the spec of a stand-in engine."""
     name = f"engine-{DOMAINS[domain]}-{number}"
     host = address(net, domain, 100 + number)
-    return EngineSpec(name, DOMAINS[domain], host, SERVER_PORT, "redactor", flags)
+    return ServerSpec(name, DOMAINS[domain], host, SERVER_PORT, "redactor", flags)
 
 
-def plain_service(net: int, domain: int, number: int, *flags: str) -> EngineSpec:
-    """Return a stand-in plain service of the test site."""
+def plain_service(net: int, domain: int, number: int, *flags: str) -> ServerSpec:
+    """Return the spec of a stand-in plain service."""
     name = f"despacho-{DOMAINS[domain]}-{number}"
     host = address(net, domain, 150 + number)
-    return EngineSpec(
+    return ServerSpec(
         name, DOMAINS[domain], host, SERVER_PORT, "despacho", flags, "standin-service"
     )
--- a/siskinspoke/transport/calls.py
+++ b/siskinspoke/transport/calls.py
@@ -1,8 +1,8 @@
-"""Small calls between machines over HTTP: a whole body in, a whole body out.
+"""A minimal HTTP server for small requests and answers that fit into memory.
 
-Served on the connections of the transparent path.  A registry answers an announcement of each
-server about every second; quart on hypercorn needs several times the processor time for one, and
-much of a small VM's start and memory to load.
+It uses the HTTP/1.1 connections of the gateway. A registry answers an announcement of each server
+about every second. Quart on Hypercorn needs several times the CPU time per request, and makes up
+much of a small VM's startup time and memory.
 """
 
 from collections.abc import Awaitable, Callable
@@ -12,17 +12,17 @@
 
 from siskinspoke.transport.http1 import BadRequestError, ClientConnection, Headers
 
-HEADER_BYTES = 8_192
-# A caller asks every few seconds; one that says nothing for longer is gone.
-IDLE_SECONDS = 30.0
-# Methods whose answers have a body of their own, and nothing but an answer.
-METHODS = frozenset({"GET", "POST", "PUT", "DELETE"})
-# Of the listening socket: servers announce themselves all at once after a loss of all VMs.
+MAX_HEADER_BYTES = 8_192
+# Clients send a request every few seconds; idle connections are closed after this time.
+IDLE_TIMEOUT_SECONDS = 30.0
+# Methods whose answer has a body and leaves the connection an HTTP connection.
+SUPPORTED_METHODS = frozenset({"GET", "POST", "PUT", "DELETE"})
+# After a restart of all VMs, all servers connect at once.
 BACKLOG = 1_024
 
 
 class Call(NamedTuple):
-    """One request; ``path`` is without its query."""
+    """A request; ``path`` has no query string."""
 
     method: str
     path: str
@@ -30,67 +30,75 @@
 
 
 class Reply(NamedTuple):
-    """One answer; an empty ``content_type`` names none."""
+    """An answer; an empty ``content_type`` omits the header."""
 
     status: int
     body: bytes = b""
     content_type: str = ""
 
 
-class Bounds(NamedTuple):
-    """How large a body may be, and how long it may take to come."""
+class BodyLimits(NamedTuple):
+    """Limits on the size of a request body and on the time to receive it."""
 
-    body_bytes: int
-    body_seconds: float
+    max_bytes: int
+    timeout_seconds: float
 
 
-Answer = Callable[[Call], Awaitable[Reply]]
+CallHandler = Callable[[Call], Awaitable[Reply]]
 
 
 async def serve_calls(
-    answer: Answer, bounds: Bounds, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
+    handle: CallHandler,
+    limits: BodyLimits,
+    host: str,
+    port: int,
+    task_status=trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve calls forever."""
+    """Serve calls until cancelled."""
 
-    async def serve_one(stream: trio.SocketStream) -> None:
-        connection = ClientConnection(stream, HEADER_BYTES)
+    async def serve_connection(stream: trio.SocketStream) -> None:
+        connection = ClientConnection(stream, MAX_HEADER_BYTES)
         try:
-            while await _serve_call(answer, bounds, connection):
+            while await _serve_call(handle, limits, connection):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError, BadRequestError):
-            # The caller has gone or speaks no HTTP; it sees a closed connection.
+            # The client has disconnected or sent invalid HTTP; its connection is closed.
             return
         except Exception as error:
-            # A request that nobody expects, or a fault of ours, must not end the VM.  The library
-            # is loaded only here: no other call needs it.
+            # An unexpected request or a bug must not end the process. Loguru is imported only here
+            # because nothing else in this module needs it.
             from loguru import logger
 
-            logger.error("a call's connection failed: {!r}", error)
+            logger.error("unhandled error on an HTTP connection: {!r}", error)
         finally:
             await connection.close()
 
-    await trio.serve_tcp(serve_one, port, host=host, backlog=BACKLOG, task_status=task_status)
+    await trio.serve_tcp(
+        serve_connection, port, host=host, backlog=BACKLOG, task_status=task_status
+    )
 
 
-async def _serve_call(answer: Answer, bounds: Bounds, connection: ClientConnection) -> bool:
-    """Answer one call; False when the connection is over."""
-    came = False
-    with trio.move_on_after(IDLE_SECONDS):
-        came = await connection.wait_for_request()
-    if not came:
+async def _serve_call(
+    handle: CallHandler, limits: BodyLimits, connection: ClientConnection
+) -> bool:
+    """Answer one call; return False if the connection must be closed."""
+    received = False
+    with trio.move_on_after(IDLE_TIMEOUT_SECONDS):
+        received = await connection.wait_for_request()
+    if not received:
         return False
     reply = Reply(408)
-    with trio.move_on_after(bounds.body_seconds) as reading:
+    with trio.move_on_after(limits.timeout_seconds) as timeout:
         head = await connection.read_head()
         try:
-            body = await connection.read_body(bounds.body_bytes)
+            body = await connection.read_body(limits.max_bytes)
         except BadRequestError as error:
             await _send(connection, Reply(error.status or 400))
             return False
-    if not reading.cancelled_caught:
+    if not timeout.cancelled_caught:
         reply = Reply(405)
-        if head.method in METHODS:
-            reply = await answer(Call(head.method, head.target.partition("?")[0], body))
+        if head.method in SUPPORTED_METHODS:
+            reply = await handle(Call(head.method, head.target.partition("?")[0], body))
     await _send(connection, reply)
     return connection.next_cycle()
 
@@ -99,4 +107,4 @@
     headers: Headers = [(b"Content-Length", b"%d" % len(reply.body))]
     if reply.content_type:
         headers.append((b"Content-Type", reply.content_type.encode()))
-    await connection.send_whole(reply.status, headers, reply.body)
+    await connection.send_response(reply.status, headers, reply.body)
--- a/siskinspoke/transport/early.py
+++ b/siskinspoke/transport/early.py
@@ -1,9 +1,9 @@
-"""Listen on the public address before the rest of the program is loaded.
+"""Listen on the public address before the rest of the program is imported.
 
-An entry VM takes 0.3 to 0.5 s to load, and longer where all VMs of a site start at once.  Callers
-who come in that time are refused by its machine, and most try only once more; connections that
-wait in the queue of a listener are served as soon as there is a configuration.  So this module
-needs only what the interpreter has, and loads in some milliseconds.
+The imports of an entry VM take 0.3 to 0.5 s, and longer if all VMs of a site start at once. Without
+a listener the kernel refuses connections in that time, and most clients retry only once.
+Connections in the listener's queue are served as soon as there is a configuration. This module
+therefore imports only the standard library, and loads within a few milliseconds.
 """
 
 import json
@@ -13,20 +13,20 @@
 from siskinspoke.platform import SETTINGS_VARIABLE
 
 BACKLOG = 2_048
-FILE_FLAG = "--vm_file="
-PUBLIC = "public"
+SETTINGS_FLAG = "--vm_file="
+ADDRESS_FIELD = "public"
 
-# The listener of this process until the server of clients takes it over.
-_early: socket.socket | None = None
+# The listener of this process until the client server takes it over.
+_early_listener: socket.socket | None = None
 
 
 def listen_early(arguments: list[str]) -> None:
-    """Listen on the public address that the settings file names, if it names one.
+    """Listen on the public address in the settings file, if there is one.
 
-    Whatever is wrong with the file or the address is said by the command itself, which reads and
-    binds again.
+    Errors in the file or the address are left to the command, which reads and binds again and
+    reports them.
     """
-    global _early
+    global _early_listener
     address = _public_address(arguments)
     if address is None:
         return
@@ -38,26 +38,26 @@
     except OSError:
         listener.close()
         return
-    _early = listener
+    _early_listener = listener
 
 
-def take_early(host: str, port: int) -> socket.socket | None:
-    """Return the listener of an address, once, or None where there is none."""
-    global _early
-    if _early is None or _early.getsockname() != (host, port):
+def take_early_listener(host: str, port: int) -> socket.socket | None:
+    """Return the early listener of an address and release it, or None if there is none."""
+    global _early_listener
+    if _early_listener is None or _early_listener.getsockname() != (host, port):
         return None
-    listener, _early = _early, None
+    listener, _early_listener = _early_listener, None
     return listener
 
 
 def _public_address(arguments: list[str]) -> tuple[str, int] | None:
     path = os.environ.get(SETTINGS_VARIABLE, "")
     for word in arguments:
-        if word.startswith(FILE_FLAG):
-            path = word.removeprefix(FILE_FLAG)
+        if word.startswith(SETTINGS_FLAG):
+            path = word.removeprefix(SETTINGS_FLAG)
     try:
         with open(path, encoding="utf-8") as file:
-            host, _, port = json.load(file)[PUBLIC].rpartition(":")
+            host, _, port = json.load(file)[ADDRESS_FIELD].rpartition(":")
         return host, int(port)
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         return None
--- a/siskinspoke/transport/pages.py
+++ b/siskinspoke/transport/pages.py
@@ -1,7 +1,7 @@
-"""Small pages for machines: whether a VM takes new clients, and its metrics.
+"""Readiness and metrics pages.
 
-They are served as small calls: the HTTP server library would take more of a small VM's start and
-memory than all else, for two addresses that answer one GET each.
+They use the minimal HTTP server: for two ports that answer one GET each, the full HTTP server
+library would take more of a small VM's startup time and memory than everything else.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,14 +11,14 @@
 
 from siskinspoke.core.counters import Counters
 from siskinspoke.core.latencies import Latencies
-from siskinspoke.transport.calls import Bounds, Call, Reply, serve_calls
+from siskinspoke.transport.calls import BodyLimits, Call, Reply, serve_calls
 
-BOUNDS = Bounds(body_bytes=1_024, body_seconds=30.0)
-TEXT = "text/plain; version=0.0.4"
+BODY_LIMITS = BodyLimits(max_bytes=1_024, timeout_seconds=30.0)
+CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 class Page(NamedTuple):
-    """One answer."""
+    """The status and body of an answer."""
 
     status: int
     body: bytes = b""
@@ -28,10 +28,10 @@
 
 
 def metrics_pages(counters: Counters, latencies: Latencies) -> Pages:
-    """Return the page of a metrics address."""
+    """Return the pages of a metrics port."""
 
     def metrics() -> Page:
-        # Whoever is not asked for metrics does not load the library that writes them.
+        # The metrics library is imported only in VMs that are asked for metrics.
         from siskinspoke.core.exposition import exposition
 
         return Page(200, exposition(counters, latencies))
@@ -42,11 +42,11 @@
 async def serve_pages(
     pages: Pages, host: str, port: int, task_status=trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve pages by path forever."""
+    """Serve pages by path until cancelled."""
 
-    async def answer(call: Call) -> Reply:
-        make = pages.get(call.path)
-        page = Page(404) if make is None else make()
-        return Reply(page.status, page.body, TEXT)
+    async def handle(call: Call) -> Reply:
+        render = pages.get(call.path)
+        page = Page(404) if render is None else render()
+        return Reply(page.status, page.body, CONTENT_TYPE)
 
-    await serve_calls(answer, BOUNDS, host, port, task_status=task_status)
+    await serve_calls(handle, BODY_LIMITS, host, port, task_status=task_status)
--- a/tests/coordination/test_crash_watch.py
+++ b/tests/coordination/test_crash_watch.py
@@ -1,69 +1,75 @@
-"""Tests of what VMs tell each other of servers' crashes."""
+"""Tests of the exchange of crash reports between VMs."""
 
 from siskinspoke.coordination.crash_watch import CrashWatch, RunEnd
 from siskinspoke.coordination.crashes import Clear, Quarantined, Suspected
-from siskinspoke.coordination.fingerprints import Subject
+from siskinspoke.coordination.fingerprints import RequestIdentity
 from siskinspoke.core.counters import Counters
 from siskinspoke.protocol import decode_message, encode_message
 from siskinspoke.protocol.crashes import CrashNews
-from tests.feeds.test_follower import Quiet
+from tests.feeds.test_follower import NullDecisionLog
 
-DEADLY = Subject("acme", "shop.example/stream/x", b"what no engine survives")
-SOUND = Subject("acme", "shop.example/stream/x", b"what any engine answers")
+DEADLY = RequestIdentity("acme", "shop.example/stream/x", b"what no engine survives")
+HARMLESS = RequestIdentity("acme", "shop.example/stream/x", b"what any engine answers")
 RAN_MS = 100.0
-LATE_MS = 3.0
-MOST_MESSAGES = 40
+DELIVERY_DELAY_MS = 3.0
+MAX_MESSAGES = 40
 
 
-def watch(told: list[CrashNews]) -> CrashWatch:
-    """Return the watch of a VM whose news are added to a list."""
-    return CrashWatch(told.append, Counters(), Quiet())
+def make_watch(told: list[CrashNews]) -> CrashWatch:
+    """Return a VM's crash watch that appends its messages to a list."""
+    return CrashWatch(told.append, Counters(), NullDecisionLog())
 
 
 class Vms:
-    """Some VMs, each of which passes on to all others what is news to it, a little later."""
+    """Several VMs, each of which forwards new reports to all others with a delay."""
 
     def __init__(self, count: int):
         self.now = 1_000.0
         self.messages = 0
-        self._waiting: list[tuple[int, CrashNews]] = []
+        self._pending: list[tuple[int, CrashNews]] = []
         self.watches = [
-            CrashWatch(lambda news, number=number: self._say(number, news), Counters(), Quiet())
+            CrashWatch(
+                lambda news, number=number: self._broadcast(number, news),
+                Counters(),
+                NullDecisionLog(),
+            )
             for number in range(count)
         ]
 
-    def _say(self, teller: int, news: CrashNews) -> None:
-        self._waiting += [(number, news) for number in range(len(self.watches)) if number != teller]
+    def _broadcast(self, teller: int, news: CrashNews) -> None:
+        self._pending += [(number, news) for number in range(len(self.watches)) if number != teller]
 
-    def settle(self) -> None:
-        """Deliver what is said until nobody has anything to say, for a bounded time."""
-        while self._waiting and self.messages < MOST_MESSAGES * len(self.watches) ** 2:
-            number, news = self._waiting.pop(0)
+    def deliver(self) -> None:
+        """Deliver messages until there are none left, up to a limit."""
+        while self._pending and self.messages < MAX_MESSAGES * len(self.watches) ** 2:
+            number, news = self._pending.pop(0)
             self.messages += 1
-            self.now += LATE_MS
-            fresh = self.watches[number].hear(news, self.now)
+            self.now += DELIVERY_DELAY_MS
+            fresh = self.watches[number].apply(news, self.now)
             if any(fresh):
-                self._say(number, fresh)
+                self._broadcast(number, fresh)
 
-    def crash(self, number: int, name: str, subject: Subject, end: RunEnd = RunEnd.BROKE) -> None:
+    def crash(
+        self, number: int, name: str, subject: RequestIdentity, end: RunEnd = RunEnd.BROKE
+    ) -> None:
         """Have a server crash under a request of one VM."""
         start = (name, 1)
-        run = self.watches[number].began(subject, [start], self.now)
+        run = self.watches[number].start_run(subject, [start], self.now)
         self.now += RAN_MS
-        self.watches[number].crashed(start, "m", 20, self.now, self.now)
-        self.watches[number].ended(run, end, self.now)
-        self.settle()
+        self.watches[number].record_crash(start, "m", 20, self.now, self.now)
+        self.watches[number].end_run(run, end, self.now)
+        self.deliver()
 
-    def serve(self, number: int, subject: Subject) -> None:
-        """Have a VM answer a request whole."""
-        run = self.watches[number].began(subject, [("well", 1)], self.now)
+    def serve(self, number: int, subject: RequestIdentity) -> None:
+        """Have a VM answer a request completely."""
+        run = self.watches[number].start_run(subject, [("well", 1)], self.now)
         self.now += RAN_MS
-        self.watches[number].ended(run, RunEnd.WHOLE, self.now)
-        self.settle()
+        self.watches[number].end_run(run, RunEnd.WHOLE, self.now)
+        self.deliver()
 
 
-class TestTelling:
-    """What one VM has seen all know, and nobody says it for ever."""
+class TestExchange:
+    """All VMs learn what one has observed, and forwarding ends."""
 
     def test_crashes_at_three_vms(self):
         vms = Vms(3)
@@ -73,159 +79,159 @@
         for item in vms.watches:
             assert isinstance(item.judge(DEADLY, vms.now), Quarantined)
 
-    def test_neighbours_at_other_vms(self):
-        """The cause is at one VM, its neighbour at another, the answer that clears at a third."""
+    def test_suspects_at_different_vms(self):
+        """The cause, another request and the answer that clears it are at three different VMs."""
         vms = Vms(3)
         for number in range(3):
             start = (f"s{number}", 1)
-            runs = [vms.watches[0].began(DEADLY, [start], vms.now)]
-            runs.append(vms.watches[1].began(SOUND, [start], vms.now))
+            runs = [vms.watches[0].start_run(DEADLY, [start], vms.now)]
+            runs.append(vms.watches[1].start_run(HARMLESS, [start], vms.now))
             vms.now += RAN_MS
-            vms.watches[0].crashed(start, "m", 20, vms.now, vms.now)
-            vms.settle()
+            vms.watches[0].record_crash(start, "m", 20, vms.now, vms.now)
+            vms.deliver()
             for item, run in zip(vms.watches, runs, strict=False):
-                item.ended(run, RunEnd.BROKE, vms.now)
+                item.end_run(run, RunEnd.BROKE, vms.now)
         assert all(isinstance(item.judge(DEADLY, vms.now), Suspected) for item in vms.watches)
-        vms.serve(2, SOUND)
+        vms.serve(2, HARMLESS)
         vms.now += 1_000.0
         for item in vms.watches:
             assert isinstance(item.judge(DEADLY, vms.now), Quarantined)
-            assert item.judge(SOUND, vms.now) == Clear()
+            assert item.judge(HARMLESS, vms.now) == Clear()
 
-    def test_news_come_to_an_end(self):
-        """Control VMs passed a whole answer on to each other, each time as a later one.
+    def test_forwarding_of_answers_ends(self):
+        """Forwarding a complete answer must end.
 
-        Ages are counted from the sending, so the time on the way made it look newer: 490,000
-        messages reached one entry VM in half a minute, and took three quarters of all processor
-        time.
+        Ages are relative to sending, so each hop made the answer look newer, and control VMs
+        forwarded it to each other without end: 490,000 messages reached one entry VM in half a
+        minute and took three quarters of the CPU time.
         """
         vms = Vms(4)
-        vms.crash(0, "s0", SOUND)
-        vms.serve(1, SOUND)
-        assert vms.messages < MOST_MESSAGES
+        vms.crash(0, "s0", HARMLESS)
+        vms.serve(1, HARMLESS)
+        assert vms.messages < MAX_MESSAGES
         before = vms.messages
-        vms.serve(2, SOUND)
-        vms.serve(3, SOUND)
+        vms.serve(2, HARMLESS)
+        vms.serve(3, HARMLESS)
         assert vms.messages == before
 
-    def test_probes_come_to_an_end(self):
+    def test_forwarding_of_probes_ends(self):
         vms = Vms(4)
         vms.crash(0, "s0", DEADLY)
         before = vms.messages
-        vms.watches[1].probe(DEADLY, vms.now)
-        vms.settle()
-        assert vms.messages - before < MOST_MESSAGES
+        vms.watches[1].record_probe(DEADLY, vms.now)
+        vms.deliver()
+        assert vms.messages - before < MAX_MESSAGES
 
-    def test_answer_is_known_before_the_crash(self):
-        """The report of a crash is lost at first and comes by way of a control VM."""
+    def test_answer_arrives_before_the_crash(self):
+        """The first report of a crash is lost; it arrives by a control VM, after the answer."""
         told, late = [], []
-        first, last = watch(told), watch(late)
-        run = first.began(SOUND, [("s0", 1)], 0.0)
-        first.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        first.ended(run, RunEnd.BROKE, 100.0)
-        again = first.began(SOUND, [("s1", 1)], 110.0)
-        first.ended(again, RunEnd.WHOLE, 200.0)
+        first, last = make_watch(told), make_watch(late)
+        run = first.start_run(HARMLESS, [("s0", 1)], 0.0)
+        first.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        first.end_run(run, RunEnd.BROKE, 100.0)
+        again = first.start_run(HARMLESS, [("s1", 1)], 110.0)
+        first.end_run(again, RunEnd.WHOLE, 200.0)
         crash, answer = told
-        last.hear(answer, 210.0)
-        last.hear(crash._replace(crashes=[crash.crashes[0]._replace(age_ms=120)]), 220.0)
-        assert last.judge(SOUND, 230.0) == Clear()
+        last.apply(answer, 210.0)
+        last.apply(crash._replace(crashes=[crash.crashes[0]._replace(age_ms=120)]), 220.0)
+        assert last.judge(HARMLESS, 230.0) == Clear()
 
     def test_answered_between_a_crash_and_its_report(self):
-        """A VM answers a suspect, which is no news to it, and then hears of an earlier crash."""
+        """A VM's repeated answer is not forwarded, but clears a crash that is reported later."""
         told, reports = [], []
-        one, other = watch(told), watch(reports)
-        run = one.began(SOUND, [("s0", 1)], 0.0)
-        one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        one.ended(run, RunEnd.BROKE, 100.0)
+        one, other = make_watch(told), make_watch(reports)
+        run = one.start_run(HARMLESS, [("s0", 1)], 0.0)
+        one.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        one.end_run(run, RunEnd.BROKE, 100.0)
         for at in (200.0, 900.0):
-            one.ended(one.began(SOUND, [("s1", 1)], at - 50.0), RunEnd.WHOLE, at)
-        other.began(SOUND, [("s2", 1)], 700.0)
-        other.crashed(("s2", 1), "m", 20, 850.0, 930.0)
+            one.end_run(one.start_run(HARMLESS, [("s1", 1)], at - 50.0), RunEnd.WHOLE, at)
+        other.start_run(HARMLESS, [("s2", 1)], 700.0)
+        other.record_crash(("s2", 1), "m", 20, 850.0, 930.0)
         told.clear()
-        one.hear(reports[0], 933.0)
-        assert [item.fingerprint for news in told for item in news.served] == [SOUND.fingerprint]
-        other.hear(told[0], 936.0)
-        assert other.judge(SOUND, 940.0) == Clear()
+        one.apply(reports[0], 933.0)
+        assert [item.fingerprint for news in told for item in news.served] == [HARMLESS.fingerprint]
+        other.apply(told[0], 936.0)
+        assert other.judge(HARMLESS, 940.0) == Clear()
 
-    def test_news_survive_the_wire(self):
+    def test_messages_survive_encoding(self):
         told = []
-        one = watch(told)
-        run = one.began(DEADLY, [("s0", 1)], 0.0)
-        one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        one.ended(run, RunEnd.BROKE, 100.0)
+        one = make_watch(told)
+        run = one.start_run(DEADLY, [("s0", 1)], 0.0)
+        one.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        one.end_run(run, RunEnd.BROKE, 100.0)
         assert decode_message(encode_message(told[0])).ok == told[0]
 
 
 class TestRuns:
-    """Who was open at a server when it crashed."""
+    """Which requests were open at a server when it crashed."""
 
     def suspects(self, *ends, at=100.0):
-        one = watch([])
+        one = make_watch([])
         for number, (end, ended_at) in enumerate(ends):
-            subject = Subject("acme", "x", b"%d" % number)
-            run = one.began(subject, [("s0", 1)], 0.0)
+            subject = RequestIdentity("acme", "x", b"%d" % number)
+            run = one.start_run(subject, [("s0", 1)], 0.0)
             if end is not None:
-                one.ended(run, end, ended_at)
-        one.crashed(("s0", 1), "m", 20, at, at)
+                one.end_run(run, end, ended_at)
+        one.record_crash(("s0", 1), "m", 20, at, at)
         return len(one.ledger.find(("s0", 1)).suspects)
 
-    def test_open_and_broken_off(self):
+    def test_open_and_abandoned(self):
         assert self.suspects((None, 0.0), (RunEnd.BROKE, 100.0)) == 2
 
-    def test_left_just_before(self):
-        """A late first token is awaited elsewhere; the server that was left crashed 50 ms later."""
+    def test_abandoned_just_before(self):
+        """A request is moved for its late first token, and the server crashes 40 ms later."""
         assert self.suspects((RunEnd.BROKE, 60.0)) == 1
 
-    def test_left_long_before(self):
+    def test_abandoned_long_before(self):
         assert self.suspects((RunEnd.BROKE, 60.0), at=2_000.0) == 0
 
     def test_answered_or_refused(self):
-        """What was answered whole is no cause, and what a server refused it has not run."""
+        """A complete answer rules a request out, and a refused request never ran."""
         assert self.suspects((RunEnd.WHOLE, 60.0), (RunEnd.NOT_RUN, 60.0)) == 0
 
-    def test_body_is_not_read_without_a_crash(self):
-        """A body may have megabytes, and nothing is wrong on most days."""
-        one = watch([])
-        subject = Subject("acme", "x", b"body")
-        one.ended(one.began(subject, [("s0", 1)], 0.0), RunEnd.WHOLE, 50.0)
+    def test_body_is_not_hashed_without_a_crash(self):
+        """Bodies may have megabytes, so they are not hashed while there are no crashes."""
+        one = make_watch([])
+        subject = RequestIdentity("acme", "x", b"body")
+        one.end_run(one.start_run(subject, [("s0", 1)], 0.0), RunEnd.WHOLE, 50.0)
         assert one.judge(subject, 60.0) == Clear()
         assert "fingerprint" not in vars(subject)
 
 
-class TestNewcomers:
-    """A VM that starts, or is back, is told what matters and no more."""
+class TestStateTransfer:
+    """A VM that starts or returns is sent what it needs and no more."""
 
     def after_crashes(self):
-        one = watch([])
+        one = make_watch([])
         for number in range(3):
             start = (f"s{number}", 1)
-            run = one.began(DEADLY, [start], 1_000.0 * number)
-            neighbour = one.began(SOUND, [start], 1_000.0 * number)
-            one.crashed(start, "m", 20, 1_000.0 * number + RAN_MS, 1_000.0 * number + RAN_MS)
-            one.ended(run, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
-            one.ended(neighbour, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
-        one.ended(one.began(SOUND, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
+            run = one.start_run(DEADLY, [start], 1_000.0 * number)
+            neighbour = one.start_run(HARMLESS, [start], 1_000.0 * number)
+            one.record_crash(start, "m", 20, 1_000.0 * number + RAN_MS, 1_000.0 * number + RAN_MS)
+            one.end_run(run, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
+            one.end_run(neighbour, RunEnd.BROKE, 1_000.0 * number + RAN_MS)
+        one.end_run(one.start_run(HARMLESS, [("well", 1)], 2_200.0), RunEnd.WHOLE, 2_300.0)
         return one
 
-    def test_told_by_a_control_vm(self):
-        newcomer = watch([])
-        for news in self.after_crashes().all_news(4_000.0):
-            newcomer.hear(news, 50.0)
+    def test_entry_vm_learns_from_control_vm(self):
+        newcomer = make_watch([])
+        for news in self.after_crashes().all_reports(4_000.0):
+            newcomer.apply(news, 50.0)
         assert isinstance(newcomer.judge(DEADLY, 60.0), Quarantined)
-        assert newcomer.judge(SOUND, 60.0) == Clear()
+        assert newcomer.judge(HARMLESS, 60.0) == Clear()
 
-    def test_control_vm_that_has_forgotten(self):
-        """All control VMs were restarted; entry VMs tell them what they have seen themselves."""
-        control = watch([])
-        for news in self.after_crashes().own_news(4_000.0):
-            control.hear(news, 50.0)
+    def test_control_vm_that_lost_its_state(self):
+        """After a restart of all control VMs, entry VMs send them what they observed themselves."""
+        control = make_watch([])
+        for news in self.after_crashes().own_reports(4_000.0):
+            control.apply(news, 50.0)
         assert isinstance(control.judge(DEADLY, 60.0), Quarantined)
-        assert control.judge(SOUND, 60.0) == Clear()
-
-    def test_nothing_where_all_are_cleared(self):
-        one = watch([])
-        run = one.began(SOUND, [("s0", 1)], 0.0)
-        one.crashed(("s0", 1), "m", 20, 100.0, 100.0)
-        one.ended(run, RunEnd.BROKE, 100.0)
-        one.ended(one.began(SOUND, [("s1", 1)], 110.0), RunEnd.WHOLE, 200.0)
-        assert one.all_news(300.0) == []
+        assert control.judge(HARMLESS, 60.0) == Clear()
+
+    def test_nothing_if_all_are_cleared(self):
+        one = make_watch([])
+        run = one.start_run(HARMLESS, [("s0", 1)], 0.0)
+        one.record_crash(("s0", 1), "m", 20, 100.0, 100.0)
+        one.end_run(run, RunEnd.BROKE, 100.0)
+        one.end_run(one.start_run(HARMLESS, [("s1", 1)], 110.0), RunEnd.WHOLE, 200.0)
+        assert one.all_reports(300.0) == []
--- a/tests/coordination/test_directory.py
+++ b/tests/coordination/test_directory.py
@@ -1,141 +1,161 @@
-"""Tests of what an entry VM knows of backend servers."""
+"""Tests of an entry VM's directory of backend servers."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from siskinspoke.bench.slopes import announcement
-from siskinspoke.coordination.directory import RECALLED_MS, UNDATED, Directory, Heard, start_of
-from siskinspoke.protocol.announcements import load_of
+from siskinspoke.coordination.directory import (
+    RESTORED_LEASE_MS,
+    UNKNOWN_INCARNATION,
+    AnnouncementEffect,
+    Directory,
+    start_of,
+)
+from siskinspoke.protocol.announcements import extract_load
 
-LEASE = 3_000
+LEASE_MS = 3_000
 
 
-def said(seq, incarnation=7, leaving=False):
-    """Return an announcement of one server."""
+def announced(seq, incarnation=7, leaving=False):
+    """Return an announcement of the same server."""
     return announcement(1, seq, "sala-a")._replace(incarnation=incarnation, leaving=leaving)
 
 
-def named(server):
-    """Return a first announcement of a server."""
-    return said(1)._replace(server=server)
+def first_announcement_of(server):
+    """Return the first announcement of a server."""
+    return announced(1)._replace(server=server)
 
 
 class TestOrder:
-    """Announcements overtake each other on their way."""
+    """Announcements may arrive out of order."""
 
     def test_leaving_is_final_for_an_incarnation(self):
-        """A server says farewell; an announcement from before, and one from after, come late."""
-        directory = Directory(LEASE)
-        directory.hear(said(5), 0)
-        assert directory.hear(said(6, leaving=True), 1) is Heard.LEFT
-        assert directory.hear(said(5), 2) is Heard.STALE
-        assert directory.hear(said(9), 3) is Heard.STALE
+        """Announcements from before and after a server left must not bring it back."""
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(5), 0)
+        assert directory.apply(announced(6, leaving=True), 1) is AnnouncementEffect.LEFT
+        assert directory.apply(announced(5), 2) is AnnouncementEffect.STALE
+        assert directory.apply(announced(9), 3) is AnnouncementEffect.STALE
         assert directory.live(4) == []
-        assert directory.hear(said(1, incarnation=8), 5) is Heard.JOINED
+        assert directory.apply(announced(1, incarnation=8), 5) is AnnouncementEffect.JOINED
 
-    def test_leaving_server_goes_on_speaking(self):
-        """A server that had said that it leaves was forgotten after a minute, and joined anew."""
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        directory.retire(*start_of(said(1)))
+    def test_leaving_server_keeps_announcing(self):
+        """A server that left but still announces itself must not rejoin after a minute.
+
+        Its record was dropped after that time, so that its next announcement was taken for a new
+        server's.
+        """
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1), 0)
+        directory.mark_leaving(*start_of(announced(1)))
         for second in range(1, 200):
-            assert directory.hear(said(1 + second), second * 1_000) is Heard.STALE
-            directory.forget(second * 1_000)
+            assert (
+                directory.apply(announced(1 + second), second * 1_000) is AnnouncementEffect.STALE
+            )
+            directory.prune(second * 1_000)
         assert directory.live(200_000) == []
-        assert directory.forget(300_000) == [said(1).server]
+        assert directory.prune(300_000) == [announced(1).server]
 
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(st.permutations([said(1), said(2), said(3), said(4, leaving=True)]))
-    def test_any_order_ends_the_same(self, items):
-        directory = Directory(LEASE)
+    @given(st.permutations([announced(1), announced(2), announced(3), announced(4, leaving=True)]))
+    def test_any_order_gives_the_same_result(self, items):
+        directory = Directory(LEASE_MS)
         for item in items:
-            directory.hear(item, 0)
+            directory.apply(item, 0)
         assert directory.live(1) == []
 
     def test_older_incarnation_is_stale(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1, incarnation=8), 0)
-        assert directory.hear(said(99, incarnation=7), 1) is Heard.STALE
-        assert directory.superseded(said(1).server, 7)
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1, incarnation=8), 0)
+        assert directory.apply(announced(99, incarnation=7), 1) is AnnouncementEffect.STALE
+        assert directory.superseded(announced(1).server, 7)
 
 
 class TestStarts:
-    """A server starts again under its name: its numbers begin anew, and it knows nothing."""
-
-    def test_lower_number_of_a_later_start_counts(self):
-        """The caller's requests would miss a healthy server until its numbers pass the old ones."""
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        assert directory.hear(said(1, incarnation=8), 10) is Heard.JOINED
-        assert directory.latest(said(1).server).start == (said(1).server, 8)
-        assert len(directory.live(LEASE + 5)) == 1
-
-    def test_start_after_a_deregistration(self):
-        """A deregistration goes after all words of its start, but not after the next start's."""
-        directory = Directory(LEASE)
-        directory.hear(said(2**60, incarnation=7, leaving=True), 0)
-        assert directory.hear(said(1, incarnation=8), 10) is Heard.JOINED
+    """A server restarts under its name: its sequence numbers start over and its state is lost."""
+
+    def test_lower_number_of_a_later_incarnation_counts(self):
+        """Otherwise a healthy server gets no requests until its numbers pass the old ones."""
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(90, incarnation=7), 0)
+        assert directory.apply(announced(1, incarnation=8), 10) is AnnouncementEffect.JOINED
+        assert directory.latest(announced(1).server).start == (announced(1).server, 8)
+        assert len(directory.live(LEASE_MS + 5)) == 1
+
+    def test_restart_after_a_deregistration(self):
+        """A deregistration overrides all announcements of its incarnation, but no later one."""
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(2**60, incarnation=7, leaving=True), 0)
+        assert directory.apply(announced(1, incarnation=8), 10) is AnnouncementEffect.JOINED
         assert len(directory.live(11)) == 1
 
-    def test_late_words_of_the_former_start_change_nothing(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1, incarnation=8), 0)
-        assert directory.hear(said(91, incarnation=7), 1) is Heard.STALE
-        assert directory.hear(said(2**60, incarnation=7, leaving=True), 2) is Heard.STALE
+    def test_late_announcements_of_the_previous_incarnation_are_stale(self):
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1, incarnation=8), 0)
+        assert directory.apply(announced(91, incarnation=7), 1) is AnnouncementEffect.STALE
+        assert (
+            directory.apply(announced(2**60, incarnation=7, leaving=True), 2)
+            is AnnouncementEffect.STALE
+        )
         assert len(directory.live(3)) == 1
 
-    def test_leave_of_the_later_start_counts(self):
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        assert directory.hear(said(2**60, incarnation=8, leaving=True), 1) is Heard.LEFT
+    def test_leaving_of_the_later_incarnation_counts(self):
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(90, incarnation=7), 0)
+        assert (
+            directory.apply(announced(2**60, incarnation=8, leaving=True), 1)
+            is AnnouncementEffect.LEFT
+        )
         assert directory.live(2) == []
 
-    def test_proof_and_retirement_belong_to_one_start(self):
-        """An answer of the former process comes while the new one is known already."""
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        directory.hear(said(1, incarnation=8), 1)
-        directory.retire(said(1).server, 7)
-        directory.prove(said(1).server, 7, LEASE)
+    def test_answer_and_leaving_apply_to_one_incarnation(self):
+        """An answer of the previous process arrives after the new one has announced itself."""
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(90, incarnation=7), 0)
+        directory.apply(announced(1, incarnation=8), 1)
+        directory.mark_leaving(announced(1).server, 7)
+        directory.record_answer(announced(1).server, 7, LEASE_MS)
         assert len(directory.live(2)) == 1
-        assert directory.live(LEASE + 2) == []
-
-    def test_recalled_later_start_replaces_the_former(self):
-        directory = Directory(LEASE)
-        directory.hear(said(90, incarnation=7), 0)
-        assert directory.remember(said(3, incarnation=8), 1)
-        assert not directory.remember(said(95, incarnation=7), 2)
-        assert directory.latest(said(1).server).announcement.incarnation == 8
-
-    def test_undated_server_among_dated_ones_gets_nothing(self):
-        """Another program announces a server of our service and does not say when it started."""
-        directory = Directory(LEASE)
-        stranger = announcement(2, 1, "sala-a")._replace(incarnation=UNDATED)
-        directory.hear(stranger, 0)
+        assert directory.live(LEASE_MS + 2) == []
+
+    def test_restored_later_incarnation_replaces_the_previous(self):
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(90, incarnation=7), 0)
+        assert directory.restore(announced(3, incarnation=8), 1)
+        assert not directory.restore(announced(95, incarnation=7), 2)
+        assert directory.latest(announced(1).server).announcement.incarnation == 8
+
+    def test_server_without_start_time_among_others_gets_nothing(self):
+        """A foreign program announces itself for the service without a start time."""
+        directory = Directory(LEASE_MS)
+        stranger = announcement(2, 1, "sala-a")._replace(incarnation=UNKNOWN_INCARNATION)
+        directory.apply(stranger, 0)
         assert len(directory.live(1)) == 1
-        directory.hear(said(1), 1)
-        assert [item.announcement for item in directory.live(2)] == [said(1)]
-        assert [item.announcement for item in directory.remembered(said(1).service)] == [said(1)]
+        directory.apply(announced(1), 1)
+        assert [item.announcement for item in directory.live(2)] == [announced(1)]
+        assert [item.announcement for item in directory.registered(announced(1).service)] == [
+            announced(1)
+        ]
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.data())
-    def test_vms_that_hear_in_any_order_agree(self, data):
-        """Three VMs hear the words of three starts late and doubled, then tell each other."""
+    def test_vms_agree_after_any_order(self, data):
+        """VMs that receive delayed and duplicate announcements agree after exchanging records."""
         words = [
-            said(seq, incarnation=start, leaving=start < 9 and seq == 3)
+            announced(seq, incarnation=start, leaving=start < 9 and seq == 3)
             for start in (7, 8, 9)
             for seq in (1, 2, 3)
         ]
-        vms = [Directory(LEASE) for _ in range(3)]
+        vms = [Directory(LEASE_MS) for _ in range(3)]
         heard = st.lists(st.sampled_from(words), max_size=12)
         for vm in vms:
             for word in data.draw(heard):
-                vm.hear(word, 0)
+                vm.apply(word, 0)
         for vm in vms:
             for other in vms:
-                for record in other.all_known():
-                    vm.hear(record.announcement, 1)
-        last = {vm.latest(said(1).server).order for vm in vms if vm.all_known()}
+                for record in other.all_records():
+                    vm.apply(record.announcement, 1)
+        last = {vm.latest(announced(1).server).sort_key for vm in vms if vm.all_records()}
         assert len(last) <= 1
         assert len({len(vm.live(2)) for vm in vms}) == 1
         if last:
@@ -144,101 +164,101 @@
 
 
 def _has_left(directory):
-    return directory.latest(said(1).server).announcement.leaving
+    return directory.latest(announced(1).server).announcement.leaving
 
 
 class TestLease:
     """An announcement is a lease."""
 
-    def test_silent_server_is_gone(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        assert len(directory.live(LEASE - 1)) == 1
-        assert directory.live(LEASE) == []
+    def test_lease_expires(self):
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1), 0)
+        assert len(directory.live(LEASE_MS - 1)) == 1
+        assert directory.live(LEASE_MS) == []
 
     def test_suspected_server_gets_nothing_for_a_lease(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        directory.suspect(said(1).server, 7, 10)
-        directory.hear(said(2), 20)
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1), 0)
+        directory.suspend(announced(1).server, 7, 10)
+        directory.apply(announced(2), 20)
         assert directory.live(30) == []
-        directory.hear(said(3), LEASE)
-        assert len(directory.live(LEASE + 11)) == 1
+        directory.apply(announced(3), LEASE_MS)
+        assert len(directory.live(LEASE_MS + 11)) == 1
 
 
 class TestLoads:
-    """Only what changes is passed on."""
+    """Load updates contain only the fields that change."""
 
     def test_load_renews_a_known_server(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1), 0)
-        later = said(2)._replace(free_tokens=5)
-        assert directory.hear_load(load_of(later, 0), 1) is Heard.RENEWED
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1), 0)
+        later = announced(2)._replace(free_tokens=5)
+        assert directory.apply_load(extract_load(later, 0), 1) is AnnouncementEffect.RENEWED
         assert directory.live(2)[0].announcement.free_tokens == 5
 
-    def test_load_of_an_unknown_server_or_start_asks_for_the_rest(self):
-        directory = Directory(LEASE)
-        assert directory.hear_load(load_of(said(1), 0), 0) is Heard.UNKNOWN
-        directory.hear(said(1), 0)
-        newer = load_of(said(1, incarnation=8), 0)
-        assert directory.hear_load(newer, 1) is Heard.UNKNOWN
+    def test_load_of_an_unknown_server_or_incarnation(self):
+        directory = Directory(LEASE_MS)
+        assert directory.apply_load(extract_load(announced(1), 0), 0) is AnnouncementEffect.UNKNOWN
+        directory.apply(announced(1), 0)
+        newer = extract_load(announced(1, incarnation=8), 0)
+        assert directory.apply_load(newer, 1) is AnnouncementEffect.UNKNOWN
 
     def test_load_after_leaving_is_stale(self):
-        directory = Directory(LEASE)
-        directory.hear(said(1, leaving=True), 0)
-        assert directory.hear_load(load_of(said(2), 0), 1) is Heard.STALE
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(1, leaving=True), 0)
+        assert directory.apply_load(extract_load(announced(2), 0), 1) is AnnouncementEffect.STALE
 
 
 class TestRecalled:
-    """A VM takes up servers that it knew before its restart, for a short time."""
-
-    def test_counts_until_it_should_have_spoken(self):
-        directory = Directory(LEASE)
-        assert directory.remember(said(5), 0)
-        assert [item.announcement.seq for item in directory.live(RECALLED_MS - 1)] == [5]
-        assert directory.live(RECALLED_MS + 1) == []
-
-    def test_its_own_word_counts_in_full(self):
-        directory = Directory(LEASE)
-        directory.remember(said(5), 0)
-        assert directory.hear(said(6), 100) is Heard.JOINED
-        assert len(directory.live(RECALLED_MS + 100)) == 1
-
-    def test_a_leave_is_not_undone(self):
-        """A server has left; a control VM that did not hear of it recalls it as well."""
-        directory = Directory(LEASE)
-        directory.hear(said(6, leaving=True), 0)
-        assert not directory.remember(said(5), 1)
+    """After a restart a VM uses the servers it knew before for a short time."""
+
+    def test_expires_unless_renewed(self):
+        directory = Directory(LEASE_MS)
+        assert directory.restore(announced(5), 0)
+        assert [item.announcement.seq for item in directory.live(RESTORED_LEASE_MS - 1)] == [5]
+        assert directory.live(RESTORED_LEASE_MS + 1) == []
+
+    def test_own_announcement_gives_a_full_lease(self):
+        directory = Directory(LEASE_MS)
+        directory.restore(announced(5), 0)
+        assert directory.apply(announced(6), 100) is AnnouncementEffect.JOINED
+        assert len(directory.live(RESTORED_LEASE_MS + 100)) == 1
+
+    def test_leaving_is_not_undone(self):
+        """A server has left, but a control VM that missed this restores it from its storage."""
+        directory = Directory(LEASE_MS)
+        directory.apply(announced(6, leaving=True), 0)
+        assert not directory.restore(announced(5), 1)
         assert directory.live(2) == []
 
-    def test_a_leave_is_heard(self):
-        directory = Directory(LEASE)
-        directory.remember(said(5), 0)
-        assert directory.hear(said(6, leaving=True), 1) is Heard.LEFT
+    def test_leaving_is_applied(self):
+        directory = Directory(LEASE_MS)
+        directory.restore(announced(5), 0)
+        assert directory.apply(announced(6, leaving=True), 1) is AnnouncementEffect.LEFT
         assert directory.live(2) == []
 
 
-class TestLapsedServers:
-    """A server that crashed is looked at until its lease has run out, and no longer."""
+class TestExpiredLeases:
+    """A crashed server is probed until its lease has expired, and no longer."""
 
-    def test_lapsed_server_is_not_believed_beside_a_live_one(self):
-        """Each VM of a large fleet would go on connecting to a dead server twice a second."""
+    def test_expired_server_is_not_used_beside_a_live_one(self):
+        """Otherwise each VM of a large fleet keeps connecting to a dead server twice a second."""
         directory = Directory(1_000)
-        directory.hear(named("crashed"), 0)
-        directory.hear(named("well"), 1_500)
+        directory.apply(first_announcement_of("crashed"), 0)
+        directory.apply(first_announcement_of("well"), 1_500)
         crashed, well = directory.latest("crashed"), directory.latest("well")
-        assert directory.is_believed(well, 2_000)
-        assert not directory.is_believed(crashed, 2_000)
+        assert directory.is_routable(well, 2_000)
+        assert not directory.is_routable(crashed, 2_000)
 
-    def test_cut_off_vm_believes_in_what_it_remembers(self):
-        """A VM that hears no announcements any more goes on with what it knows."""
+    def test_cut_off_vm_uses_expired_servers(self):
+        """A VM that no longer receives announcements keeps using the servers it knows."""
         directory = Directory(1_000)
-        directory.hear(named("known"), 0)
-        assert directory.is_believed(directory.latest("known"), 5_000)
-        assert directory.believed_among(["known", "other"], 5_000) == [directory.latest("known")]
+        directory.apply(first_announcement_of("known"), 0)
+        assert directory.is_routable(directory.latest("known"), 5_000)
+        assert directory.routable_among(["known", "other"], 5_000) == [directory.latest("known")]
 
-    def test_live_servers_go_before_remembered_ones(self):
+    def test_live_servers_are_preferred_to_expired_ones(self):
         directory = Directory(1_000)
-        directory.hear(named("crashed"), 0)
-        directory.hear(named("well"), 1_500)
-        assert directory.believed_among(["crashed", "well"], 2_000) == [directory.latest("well")]
+        directory.apply(first_announcement_of("crashed"), 0)
+        directory.apply(first_announcement_of("well"), 1_500)
+        assert directory.routable_among(["crashed", "well"], 2_000) == [directory.latest("well")]
--- a/tests/feeds/test_follower.py
+++ b/tests/feeds/test_follower.py
@@ -1,47 +1,54 @@
-"""Tests of how a VM finds the control VMs again."""
+"""Tests of how a VM reconnects to control VMs."""
 
 import trio
 from trio.testing import MockClock
 
 from siskinspoke.core.counters import Counters
 from siskinspoke.feeds import follower
-from siskinspoke.feeds.follower import FeedSet, Listener, Me
+from siskinspoke.feeds.follower import FeedClients, FeedHandlers, FollowerIdentity
 
-POWER_SECONDS = 0.35
-LONGEST_WAIT_SECONDS = 0.25
-FOR_LONG_SECONDS = 30
+POWER_ON_SECONDS = 0.35
+MAX_RECONNECT_SECONDS = 0.25
+OUTAGE_SECONDS = 30
 
 
-class Quiet:
-    """A decision log that writes nothing."""
+class NullDecisionLog:
+    """A decision log that discards all lines."""
 
     def note(self, event, **fields):
-        """Leave a line out."""
+        """Discard a line."""
 
 
-def feeds():
+def make_feed_set():
     """Return the feeds of an entry VM that knows one seed."""
-    listener = Listener(print, print, print, print, lambda: 0)
-    return FeedSet(
-        Me("entry-1", "10.0.0.1", 9), ("10.0.0.2",), 8, b"k", listener, Counters(), Quiet()
+    handlers = FeedHandlers(print, print, print, print, lambda: 0)
+    return FeedClients(
+        FollowerIdentity("entry-1", "10.0.0.1", 9),
+        ("10.0.0.2",),
+        8,
+        b"k",
+        handlers,
+        Counters(),
+        NullDecisionLog(),
     )
 
 
-class TestFindingAgain:
-    """A control VM that could not be reached is found soon after it can be."""
+class TestReconnecting:
+    """A control VM is connected soon after it becomes reachable."""
 
-    def test_control_vm_that_had_no_power(self, monkeypatch):
-        """All VMs have lost power; entry VMs are up 0.35 s before the first control VM.
+    def test_control_vm_powers_on_late(self, monkeypatch):
+        """Guards against a slow reconnect after a power loss of all VMs.
 
-        Connections to a VM without power are not refused, they hang.  Callers' requests wait at
-        the entry VMs for a configuration, and each tenth of a second makes more of them late.
+        Entry VMs are up 0.35 s before the first control VM. Connections to a VM without power hang
+        instead of being refused. Callers' requests wait for a configuration meanwhile, and more of
+        them are late with each 0.1 s.
         """
-        found = []
+        attempts = []
 
         async def connect(*_args, **_kwargs):
-            if trio.current_time() - began < POWER_SECONDS:
+            if trio.current_time() - began < POWER_ON_SECONDS:
                 await trio.sleep_forever()
-            found.append(trio.current_time() - began)
+            attempts.append(trio.current_time() - began)
             raise OSError("enough is known")
 
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
@@ -50,14 +57,14 @@
             nonlocal began
             began = trio.current_time()
             with trio.move_on_after(2):
-                await feeds().run()
+                await make_feed_set().run()
 
         began = 0.0
         trio.run(run, clock=MockClock(autojump_threshold=0))
-        assert found[0] < POWER_SECONDS + LONGEST_WAIT_SECONDS
+        assert attempts[0] < POWER_ON_SECONDS + MAX_RECONNECT_SECONDS
 
-    def test_task_that_is_begun_anew(self, monkeypatch):
-        """A fault ended the task; begun anew it followed nobody, and took itself for connected."""
+    def test_restarted_task_reconnects(self, monkeypatch):
+        """Guards against a restarted task that counts the connections of its last run as open."""
         tries = []
 
         async def connect(*_args, **_kwargs):
@@ -67,19 +74,19 @@
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
 
         async def run():
-            found = feeds()
+            feed_set = make_feed_set()
             with trio.move_on_after(0.1):
-                await found.run()
+                await feed_set.run()
             before = len(tries)
-            found._connected.add("10.0.0.2")
+            feed_set._connected.add("10.0.0.2")
             with trio.move_on_after(0.1):
-                await found.run()
+                await feed_set.run()
             assert len(tries) > before
-            assert found.connected == 0
+            assert feed_set.connected_count == 0
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
 
-    def test_control_vm_that_is_gone_costs_little(self, monkeypatch):
+    def test_attempts_to_an_unreachable_control_vm_are_limited(self, monkeypatch):
         tries = []
 
         async def connect(*_args, **_kwargs):
@@ -89,21 +96,21 @@
         monkeypatch.setattr(follower.trio, "open_tcp_stream", connect)
 
         async def run():
-            with trio.move_on_after(FOR_LONG_SECONDS):
-                await feeds().run()
+            with trio.move_on_after(OUTAGE_SECONDS):
+                await make_feed_set().run()
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
-        assert len(tries) < 6 * FOR_LONG_SECONDS
+        assert len(tries) < 6 * OUTAGE_SECONDS
 
 
-class TestCalledByControl:
-    """After a loss of all VMs an entry VM knows the seeds alone, and they are the last to be up."""
+class TestControlUp:
+    """An entry VM that knows only the seeds can be notified by a control VM that is up earlier."""
 
-    def test_follows_who_calls(self):
+    def test_follows_the_sender(self):
         async def run():
-            found = feeds()
-            assert found.controls == ("10.0.0.2",)
-            found.hear_control("10.0.0.7")
-            assert found.controls == ("10.0.0.2", "10.0.0.7")
+            feed_set = make_feed_set()
+            assert feed_set.controls == ("10.0.0.2",)
+            feed_set.handle_control_up("10.0.0.7")
+            assert feed_set.controls == ("10.0.0.2", "10.0.0.7")
 
         trio.run(run)
--- a/tests/gateway/test_cells.py
+++ b/tests/gateway/test_cells.py
@@ -1,4 +1,4 @@
-"""Tests of what VMs of a large fleet tell each other, and ask each other, across cells."""
+"""Tests for updates and queries between the VMs of a large fleet with several cells."""
 
 import random
 from types import SimpleNamespace
@@ -7,30 +7,30 @@
 import trio.testing
 
 from siskinspoke.coordination.back_off import BackOffs
-from siskinspoke.coordination.books import Books, Job, Work
+from siskinspoke.coordination.cell_offers import lacks_room
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.domains import Domains
+from siskinspoke.coordination.domains import DomainMonitor
 from siskinspoke.coordination.placement import Place
 from siskinspoke.coordination.rate_limits import RateLimits
-from siskinspoke.coordination.retries import CommonBudget
-from siskinspoke.coordination.standing import Standing, Trouble
-from siskinspoke.coordination.widening import is_short
+from siskinspoke.coordination.retries import SharedRetryBudget
+from siskinspoke.coordination.server_health import FailureKind, ServerHealth
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
 from siskinspoke.gateway.peers import Peers
-from siskinspoke.gateway.questions import Questions
-from siskinspoke.gateway.widening import ask_others
+from siskinspoke.gateway.queries import Queries
+from siskinspoke.gateway.remote_placement import request_remote_place
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import PlaceOffer, PlaceQuestion, RateLimitNews, WorkNews
-from tests.feeds.test_follower import Quiet
+from tests.feeds.test_follower import NullDecisionLog
 
 PORT = 17_342
 JOB = Job(5_000, 900, 300, 250)
 DOMAINS = ("a", "b")
 VMS_A_DOMAIN = 30
 ENGINES_A_DOMAIN = 30
-# The time at which each run of a mock clock begins.
+# The initial time of a mock clock.
 START_MS = 0.0
 
 
@@ -40,25 +40,25 @@
 
 
 class Fleet:
-    """A fleet of two failure domains with two cells each, as one VM knows it."""
+    """A fleet of two failure domains with two cells each, as seen by one VM."""
 
-    def __init__(self, me: str = "10.0.0.0"):
+    def __init__(self, own_host: str = "10.0.0.0"):
         self.directory = Directory(60_000)
         for domain in DOMAINS:
             for number in range(ENGINES_A_DOMAIN):
-                self.directory.hear(engine(number, domain), 0)
+                self.directory.apply(engine(number, domain), 0)
         self.vms = [
             EntryPeer(f"10.0.{index}.{number}", PORT, domain)
             for index, domain in enumerate(DOMAINS)
             for number in range(VMS_A_DOMAIN)
         ]
-        mine = next(vm for vm in self.vms if vm.host == me)
-        others = [vm for vm in self.vms if vm.host != me]
-        self.cells = CellView(mine, self.directory, lambda: others, lambda: 1, Quiet())
+        own_vm = next(vm for vm in self.vms if vm.host == own_host)
+        others = [vm for vm in self.vms if vm.host != own_host]
+        self.cells = CellView(own_vm, self.directory, lambda: others, lambda: 1, NullDecisionLog())
 
 
 class Port:
-    """A datagram port that keeps what is sent."""
+    """A datagram port that records what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[object, list]] = []
@@ -70,187 +70,187 @@
         self.sent.append((item, [(host, port)]))
 
 
-def peers_of(fleet: Fleet, books: Books) -> Peers:
+def peers_of(fleet: Fleet, work_table: WorkTable) -> Peers:
     return Peers(
         "10.0.0.0",
         "a",
-        books,
-        CommonBudget(0.2, 100),
-        Domains(),
+        work_table,
+        SharedRetryBudget(0.2, 100),
+        DomainMonitor(),
         fleet.cells,
-        Questions("10.0.0.0", PORT, lambda question: None, Counters()),
+        Queries("10.0.0.0", PORT, lambda question: None, Counters()),
         Counters(),
         lambda _host, _domain: None,
         lambda _server: None,
     )
 
 
-class TestTelling:
-    """Work is told to those who keep the books of its engines, and to nobody else."""
+class TestUpdates:
+    """Work is reported to the cells that track its engines, and to no others."""
 
     def test_fleet_has_cells_of_bounded_size(self):
         fleet = Fleet()
-        assert len(fleet.cells.others) == 3
-        assert len(fleet.cells.addresses(fleet.cells.mine)) == VMS_A_DOMAIN // 2 - 1
+        assert len(fleet.cells.other_cells) == 3
+        assert len(fleet.cells.addresses(fleet.cells.own_cell)) == VMS_A_DOMAIN // 2 - 1
         assert len(fleet.cells.servers("m")) == ENGINES_A_DOMAIN // 2
 
-    def told(self, server_of) -> tuple[Fleet, list[tuple[WorkNews, list]]]:
-        """Return what one VM tells of work at a server that is chosen from the fleet."""
+    def sent_updates(self, server_of) -> tuple[Fleet, list[tuple[WorkNews, list]]]:
+        """Return the updates that one VM sends about work at a server chosen from the fleet."""
         fleet, port = Fleet(), Port()
 
         async def run():
-            peers = peers_of(fleet, Books())
-            number = peers.began(Work(JOB, (server_of(fleet),), 0.0))
-            await peers._tell_all(port)
-            peers.wrote(number)
-            peers.ended(number)
-            await peers._tell_all(port)
+            peers = peers_of(fleet, WorkTable())
+            number = peers.begin_work(Work(JOB, (server_of(fleet),), 0.0))
+            await peers._send_updates(port)
+            peers.mark_first_token(number)
+            peers.end_work(number)
+            await peers._send_updates(port)
 
         trio.run(run)
         return fleet, port.sent
 
-    def test_work_in_the_own_cell_stays_there(self):
-        """With 195 VMs, telling each of them took nine tenths of the fleet's processor time."""
-        fleet, sent = self.told(lambda fleet: min(fleet.cells.servers("m")))
-        mine = fleet.cells.addresses(fleet.cells.mine)
-        assert [addresses for _, addresses in sent] == [mine, mine]
+    def test_work_in_own_cell_is_sent_to_own_cell_only(self):
+        """With 195 VMs, updates to every VM took nine tenths of the fleet's processor time."""
+        fleet, sent = self.sent_updates(lambda fleet: min(fleet.cells.servers("m")))
+        own_cell = fleet.cells.addresses(fleet.cells.own_cell)
+        assert [addresses for _, addresses in sent] == [own_cell, own_cell]
         assert sent[0][0].began
         assert sent[1][0].wrote == sent[1][0].ended == [1]
 
-    def test_work_in_another_cell_is_told_there(self):
-        """VMs of that cell would otherwise take its engine for free, and pile work on it."""
-        fleet, sent = self.told(lambda fleet: "b-3")
-        watching = fleet.cells.watching(["b-3"])
-        assert fleet.cells.mine not in watching
-        heard = {address for _, addresses in sent for address in addresses}
-        expected = {at for cell in watching for at in fleet.cells.addresses(cell)}
-        assert heard >= expected
-
-    def test_limit_of_another_cells_engine_is_told_there(self):
-        """An engine named its limit to a VM of another cell; its own cell was not told."""
+    def test_work_in_another_cell_is_sent_to_that_cell(self):
+        """VMs of that cell would otherwise assume that the engine is idle and overload it."""
+        fleet, sent = self.sent_updates(lambda fleet: "b-3")
+        tracking = fleet.cells.cells_tracking(["b-3"])
+        assert fleet.cells.own_cell not in tracking
+        receivers = {address for _, addresses in sent for address in addresses}
+        expected = {at for cell in tracking for at in fleet.cells.addresses(cell)}
+        assert receivers >= expected
+
+    def test_rate_limit_of_another_cells_engine_is_sent_to_that_cell(self):
+        """An engine announced its rate limit to a VM of another cell; its own cell was not told."""
         fleet, port = Fleet(), Port()
 
         async def run():
-            peers = peers_of(fleet, Books())
+            peers = peers_of(fleet, WorkTable())
             peers.rate_limit(("b-3", 1), 2.0, 0.0)
-            await peers._tell_all(port)
+            await peers._send_updates(port)
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-        heard = {address for _, addresses in port.sent for address in addresses}
-        cells = {fleet.cells.mine, *fleet.cells.watching(["b-3"])}
-        assert heard == {at for cell in cells for at in fleet.cells.addresses(cell)}
+        receivers = {address for _, addresses in port.sent for address in addresses}
+        cells = {fleet.cells.own_cell, *fleet.cells.cells_tracking(["b-3"])}
+        assert receivers == {at for cell in cells for at in fleet.cells.addresses(cell)}
         assert {item for item, _ in port.sent} == {RateLimitNews("b-3", 1, 2.0, 0.0)}
 
-    def test_open_work_is_told_again_while_nothing_else_is_said(self):
-        """A VM with one long stream has no news; its work must not be taken for a dead VM's."""
+    def test_open_work_is_kept_alive_without_updates(self):
+        """A VM with one long stream has no updates; its work must not expire as a dead VM's."""
         fleet, port = Fleet(), Port()
 
         async def run():
-            peers = peers_of(fleet, Books())
-            peers.began(Work(JOB, (min(fleet.cells.servers("m")),), 0.0))
-            await peers._tell_all(port)
-            await peers._tell_all(port)
+            peers = peers_of(fleet, WorkTable())
+            peers.begin_work(Work(JOB, (min(fleet.cells.servers("m")),), 0.0))
+            await peers._send_updates(port)
+            await peers._send_updates(port)
             assert len(port.sent) == 1
             await trio.sleep(1.0)
-            await peers._tell_all(port)
+            await peers._send_updates(port)
             assert len(port.sent) == 2
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def asking_gateway(fleet: Fleet, offers: list[PlaceOffer]) -> SimpleNamespace:
-    """Return a gateway whose questions are answered with these offers."""
+def querying_gateway(fleet: Fleet, offers: list[PlaceOffer]) -> SimpleNamespace:
+    """Return a gateway whose placement queries are answered with these offers."""
 
-    async def ask(question: PlaceQuestion, asked: list) -> list[PlaceOffer]:
-        gateway.asked = asked
+    async def request_offers(question: PlaceQuestion, addresses: list) -> list[PlaceOffer]:
+        gateway.queried = addresses
         return offers
 
     gateway = SimpleNamespace(
         rng=random.Random(1),
         cells=fleet.cells,
         directory=fleet.directory,
-        domains=Domains(),
-        standing=Standing(),
+        domains=DomainMonitor(),
+        server_health=ServerHealth(),
         rate_limits=RateLimits(),
         back_offs=BackOffs(),
         settings=SimpleNamespace(failure_domain="a"),
-        questions=SimpleNamespace(ask=ask),
+        queries=SimpleNamespace(request_offers=request_offers),
         counters=Counters(),
     )
     return gateway
 
 
-def widened(gateway, found: Place | None, excluded=()) -> Place | None:
+def place_in_other_cells(gateway, found: Place | None, excluded=()) -> Place | None:
     clock = trio.testing.MockClock()
     request = SimpleNamespace(service="m", offers=None, widened=False)
-    return trio.run(ask_others, gateway, request, JOB, excluded, found, clock=clock)
+    return trio.run(request_remote_place, gateway, request, JOB, excluded, found, clock=clock)
 
 
 class TestWidening:
-    """A clump of long prompts fills one cell while others have room."""
+    """A cluster of long prompts fills one cell while others have capacity."""
 
-    def test_cell_with_room_asks_nobody(self):
-        assert not is_short(Place(("a-1",), 110.0), 300.0)
-        assert is_short(Place(("a-1",), 250.0), 300.0)
-        assert is_short(None, 300.0)
+    def test_cell_with_capacity_sends_no_query(self):
+        assert not lacks_room(Place(("a-1",), 110.0), 300.0)
+        assert lacks_room(Place(("a-1",), 250.0), 300.0)
+        assert lacks_room(None, 300.0)
 
-    def test_full_cell_takes_the_better_offer(self):
+    def test_full_cell_takes_best_offer(self):
         offers = [PlaceOffer(1, ["a-1"], 150.0, []), PlaceOffer(1, ["b-1"], 90.0, [])]
-        gateway = asking_gateway(Fleet(), offers)
-        assert widened(gateway, None).servers == ("b-1",)
-        assert len(gateway.asked) == 3
-
-    def test_slightly_better_offer_is_left_alone(self):
-        """The asked cell has callers of its own."""
-        gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 190.0, [])])
-        assert widened(gateway, Place(("a-1",), 200.0)) is None
-
-    def test_offer_behind_a_cut_is_of_no_use(self):
-        """The asked VM is reached, but its failure domain's engines are not."""
-        gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
+        gateway = querying_gateway(Fleet(), offers)
+        assert place_in_other_cells(gateway, None).servers == ("b-1",)
+        assert len(gateway.queried) == 3
+
+    def test_slightly_better_offer_is_declined(self):
+        """The queried cell has clients of its own."""
+        gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 190.0, [])])
+        assert place_in_other_cells(gateway, Place(("a-1",), 200.0)) is None
+
+    def test_offer_from_unreachable_domain_is_declined(self):
+        """The queried VM is reachable, but the engines of its failure domain are not."""
+        gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
         for name in ("b-4", "b-5"):
-            gateway.domains.unreached("b", name, START_MS)
-        assert widened(gateway, None) is None
-        assert all(host.startswith("10.0.0.") for host, _ in gateway.asked)
+            gateway.domains.record_failure("b", name, START_MS)
+        assert place_in_other_cells(gateway, None) is None
+        assert all(host.startswith("10.0.0.") for host, _ in gateway.queried)
 
-    def test_server_that_failed_here_is_passed_over(self):
-        gateway = asking_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
-        gateway.standing.failed("b-1", Trouble.SILENT, START_MS)
-        assert widened(gateway, None) is None
+    def test_offer_of_failed_server_is_declined(self):
+        gateway = querying_gateway(Fleet(), [PlaceOffer(1, ["b-1"], 90.0, [])])
+        gateway.server_health.record_failure("b-1", FailureKind.SILENT, START_MS)
+        assert place_in_other_cells(gateway, None) is None
 
 
-class TestQuestions:
-    """A question has an answer within some milliseconds, or none."""
+class TestQueries:
+    """A query is answered within some milliseconds, or not at all."""
 
-    def test_unanswered_question_costs_a_bounded_time(self):
-        """The VM asked has been killed; the caller's prompt must not wait for it."""
+    def test_wait_for_unanswered_query_is_bounded(self):
+        """The queried VM has been killed; the client's prompt must not wait for it."""
 
         async def run():
-            questions = Questions("10.0.0.0", PORT, lambda question: None, Counters())
-            questions.use(Port())
+            queries = Queries("10.0.0.0", PORT, lambda query: None, Counters())
+            queries.set_port(Port())
             began = trio.current_time()
             question = PlaceQuestion("", 0, "m", *JOB, [])
-            assert await questions.ask(question, [("10.0.0.1", PORT)]) == []
+            assert await queries.request_offers(question, [("10.0.0.1", PORT)]) == []
             assert trio.current_time() - began < 0.1
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_late_and_doubled_offers_harm_nobody(self):
+    def test_late_and_duplicate_offers_are_ignored(self):
         async def run():
-            questions = Questions("10.0.0.0", PORT, lambda question: None, Counters())
-            questions.use(Port())
+            queries = Queries("10.0.0.0", PORT, lambda query: None, Counters())
+            queries.set_port(Port())
             offers = []
 
             async def ask():
                 question = PlaceQuestion("", 0, "m", *JOB, [])
-                offers.extend(await questions.ask(question, [("10.0.0.1", PORT)]))
+                offers.extend(await queries.request_offers(question, [("10.0.0.1", PORT)]))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.testing.wait_all_tasks_blocked()
-                questions.hear(PlaceOffer(1, ["b-1"], 90.0, []))
-                questions.hear(PlaceOffer(1, ["b-1"], 90.0, []))
-            questions.hear(PlaceOffer(1, ["b-1"], 90.0, []))
+                queries.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+                queries.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
+            queries.handle_reply(PlaceOffer(1, ["b-1"], 90.0, []))
             assert offers == [PlaceOffer(1, ["b-1"], 90.0, [])]
 
         trio.run(run)
