--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,20 +1,20 @@
-"""Tests of what entry VMs believe of each other's work."""
+"""Tests for the exchange of work updates between entry VMs."""
 
 import trio
 
-from siskinspoke.coordination.books import Books, Job, Work
 from siskinspoke.coordination.directory import Directory
-from siskinspoke.coordination.domains import Domains
-from siskinspoke.coordination.retries import CommonBudget
+from siskinspoke.coordination.domains import DomainMonitor
+from siskinspoke.coordination.retries import SharedRetryBudget
+from siskinspoke.coordination.work_table import Job, Work, WorkTable
 from siskinspoke.core.counters import Counters
 from siskinspoke.gateway.cells import CellView
-from siskinspoke.gateway.peers import SILENT_MS, Peers
-from siskinspoke.gateway.questions import Questions
+from siskinspoke.gateway.peers import PEER_TIMEOUT_MS, Peers
+from siskinspoke.gateway.queries import Queries
 from siskinspoke.protocol.announcements import Announcement
 from siskinspoke.protocol.feed import EntryPeer
 from siskinspoke.protocol.peers import WorkBegan, WorkNews
 from siskinspoke.transport.datagrams import open_datagram_port
-from tests.feeds.test_follower import Quiet
+from tests.feeds.test_follower import NullDecisionLog
 from tests.platform.site import until
 
 PORT = 17_341
@@ -22,151 +22,155 @@
 
 
 def cell_view(host: str, others: list[str]) -> CellView:
-    """Return the cells of a small site, which are one, with two engines in their books."""
+    """Return the cells of a small site: a single one, with two engines."""
     directory = Directory(5_000)
     for name in ("e1", "e2"):
-        said = Announcement(name, 1, 1, "a", host, 1, "", "m", False, False, 0, 0, 0, [], 0, 0)
-        directory.hear(said, 0)
+        announcement = Announcement(
+            name, 1, 1, "a", host, 1, "", "m", False, False, 0, 0, 0, [], 0, 0
+        )
+        directory.apply(announcement, 0)
     known = [EntryPeer(other, PORT, "a") for other in others]
-    return CellView(EntryPeer(host, PORT, "a"), directory, lambda: known, lambda: 0, Quiet())
+    return CellView(
+        EntryPeer(host, PORT, "a"), directory, lambda: known, lambda: 0, NullDecisionLog()
+    )
 
 
-def peers(host: str, books: Books, domains: Domains | None = None) -> Peers:
-    """Return the peers of one VM, which tells nobody."""
-    budget = CommonBudget(0.2, 100)
-    domains = domains or Domains()
+def peers(host: str, work_table: WorkTable, domains: DomainMonitor | None = None) -> Peers:
+    """Return the peers of a VM that has no other VMs to send to."""
+    budget = SharedRetryBudget(0.2, 100)
+    domains = domains or DomainMonitor()
     return Peers(
         host,
         "a",
-        books,
+        work_table,
         budget,
         domains,
         cell_view(host, []),
-        Questions(host, PORT, lambda question: None, Counters()),
+        Queries(host, PORT, lambda question: None, Counters()),
         Counters(),
         lambda _host, _domain: None,
         lambda _server: None,
     )
 
 
-def began(host: str, start: str, number: int) -> WorkNews:
-    """Return the news of a short prompt at one engine."""
+def work_began(host: str, start: str, number: int) -> WorkNews:
+    """Return an update that a short prompt began at one engine."""
     item = WorkBegan(number, ["e1"], 5_000, 900, 300.0, 250.0, [])
     return WorkNews(host, start, [item], [], [], [], [], "a", [], [])
 
 
 class TestSilentPeers:
-    """The ends of a VM's work are lost; engines must not look taken for 20 s."""
+    """If the updates on finished work are lost, engines must not appear busy for 20 s."""
 
     def run(self, scenario):
-        books = Books()
+        work_table = WorkTable()
 
         async def main():
-            await scenario(peers("10.0.0.1", books), books)
+            await scenario(peers("10.0.0.1", work_table), work_table)
 
         trio.run(main)
 
-    def test_a_restarted_vm_has_none_of_its_old_work(self):
-        """A VM is killed with work open; it is back after a second and says what it begins."""
+    def test_work_of_restarted_vm_is_dropped(self):
+        """A VM is killed with open work; it is back a second later and reports new work."""
 
-        async def scenario(mine, books):
-            await mine._hear(began("10.0.0.2", "a", 1))
-            await mine._hear(began("10.0.0.2", "a", 2))
-            await mine._hear(began("10.0.0.2", "b", 1))
-            assert books.open_works == 1
+        async def scenario(mine, work_table):
+            await mine._handle(work_began("10.0.0.2", "a", 1))
+            await mine._handle(work_began("10.0.0.2", "a", 2))
+            await mine._handle(work_began("10.0.0.2", "b", 1))
+            assert work_table.work_count == 1
 
         self.run(scenario)
 
-    def test_a_cut_off_vm_is_forgotten(self):
-        """A failure domain is cut off; what its VMs end is not heard any more."""
+    def test_work_of_partitioned_vm_is_dropped(self):
+        """A failure domain is partitioned; updates on finished work no longer arrive."""
 
-        async def scenario(mine, books):
-            await mine._hear(began("10.0.0.2", "a", 1))
-            await mine._hear(began("10.0.0.3", "a", 1))
+        async def scenario(mine, work_table):
+            await mine._handle(work_began("10.0.0.2", "a", 1))
+            await mine._handle(work_began("10.0.0.3", "a", 1))
             now = trio.current_time() * 1000
-            mine.forget_silent(now + SILENT_MS - 100)
-            assert books.open_works == 2
-            mine.forget_silent(now + SILENT_MS + 100)
-            assert books.open_works == 0
+            mine.expire_peers(now + PEER_TIMEOUT_MS - 100)
+            assert work_table.work_count == 2
+            mine.expire_peers(now + PEER_TIMEOUT_MS + 100)
+            assert work_table.work_count == 0
 
         self.run(scenario)
 
-    def test_own_work_stays(self):
-        async def scenario(mine, books):
-            mine.began(Work(JOB, ("e1",), 0.0))
-            mine.forget_silent(trio.current_time() * 1000 + 60_000)
-            assert books.open_works == 1
+    def test_own_work_is_kept(self):
+        async def scenario(mine, work_table):
+            mine.begin_work(Work(JOB, ("e1",), 0.0))
+            mine.expire_peers(trio.current_time() * 1000 + 60_000)
+            assert work_table.work_count == 1
 
         self.run(scenario)
 
-    def test_one_that_speaks_is_not_forgotten(self):
-        async def scenario(mine, books):
-            await mine._hear(began("10.0.0.2", "a", 1))
-            await mine._hear(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
-            mine.forget_silent(trio.current_time() * 1000 + 100)
-            assert books.open_works == 1
+    def test_work_of_vm_that_sends_updates_is_kept(self):
+        async def scenario(mine, work_table):
+            await mine._handle(work_began("10.0.0.2", "a", 1))
+            await mine._handle(WorkNews("10.0.0.2", "a", [], [], [7], [], [], "a", [], []))
+            mine.expire_peers(trio.current_time() * 1000 + 100)
+            assert work_table.work_count == 1
 
         self.run(scenario)
 
 
-class TestNews:
-    """What one VM begins and ends stands in the books of the others."""
+class TestUpdates:
+    """Work of one VM appears in the load state of the others."""
 
-    def test_a_round(self):
-        """Two VMs tell each other by datagram; the ends come after the beginnings."""
-        books = {host: Books() for host in ("127.0.0.1", "127.0.0.2")}
+    def test_begin_and_end_reach_other_vm(self):
+        """Two VMs exchange updates by datagram: first work begins, then it ends."""
+        tables = {host: WorkTable() for host in ("127.0.0.1", "127.0.0.2")}
 
         async def main():
             async with trio.open_nursery() as nursery:
                 running = {}
-                for host in books:
+                for host in tables:
                     port = await open_datagram_port(host, PORT, b"k", Counters())
-                    others = [other for other in books if other != host]
+                    others = [other for other in tables if other != host]
                     running[host] = Peers(
                         host,
                         "a",
-                        books[host],
-                        CommonBudget(0.2, 100),
-                        Domains(),
+                        tables[host],
+                        SharedRetryBudget(0.2, 100),
+                        DomainMonitor(),
                         cell_view(host, others),
-                        Questions(host, PORT, lambda question: None, Counters()),
+                        Queries(host, PORT, lambda question: None, Counters()),
                         Counters(),
                         lambda _host, _domain: None,
                         lambda _server: None,
                     )
                     nursery.start_soon(running[host].run, port)
-                number = running["127.0.0.1"].began(Work(JOB, ("e1",), 0.0))
-                await until(lambda: books["127.0.0.2"].open_works == 1)
-                running["127.0.0.1"].wrote(number)
-                running["127.0.0.1"].ended(number)
-                running["127.0.0.1"].paced("e2", 3.0)
-                await until(lambda: books["127.0.0.2"].open_works == 0)
-                await until(lambda: books["127.0.0.2"].engine("e2").pace == 3.0)
+                number = running["127.0.0.1"].begin_work(Work(JOB, ("e1",), 0.0))
+                await until(lambda: tables["127.0.0.2"].work_count == 1)
+                running["127.0.0.1"].mark_first_token(number)
+                running["127.0.0.1"].end_work(number)
+                running["127.0.0.1"].update_pace("e2", 3.0)
+                await until(lambda: tables["127.0.0.2"].work_count == 0)
+                await until(lambda: tables["127.0.0.2"].engine("e2").slowdown == 3.0)
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
 
 
 class TestCuts:
-    """VMs of one failure domain tell each other which other domain is out of reach."""
+    """VMs of a failure domain tell each other which other domains are unreachable."""
 
-    def heard(self, *news: tuple[str, str]) -> bool:
-        """Return whether a VM of domain a believes that b is cut, by others' host and domain."""
-        domains = Domains()
+    def is_unreachable_after(self, *news: tuple[str, str]) -> bool:
+        """Return whether a VM in a deems b unreachable after reports of these (host, domain)."""
+        domains = DomainMonitor()
 
         async def main():
-            mine = peers("10.0.0.1", Books(), domains)
+            mine = peers("10.0.0.1", WorkTable(), domains)
             for host, domain in news:
-                await mine._hear(WorkNews(host, "s", [], [], [], [], [], domain, ["b"], []))
-            return domains.is_cut("b", trio.current_time() * 1000)
+                await mine._handle(WorkNews(host, "s", [], [], [], [], [], domain, ["b"], []))
+            return domains.is_cut_off("b", trio.current_time() * 1000)
 
         return trio.run(main)
 
-    def test_two_vms_are_believed(self):
-        assert self.heard(("10.0.0.2", "a"), ("10.0.0.3", "a"))
+    def test_reports_of_two_vms_suffice(self):
+        assert self.is_unreachable_after(("10.0.0.2", "a"), ("10.0.0.3", "a"))
 
-    def test_one_vm_alone_may_be_cut_off_itself(self):
-        assert not self.heard(("10.0.0.2", "a"), ("10.0.0.2", "a"))
+    def test_reports_of_one_vm_do_not_suffice(self):
+        assert not self.is_unreachable_after(("10.0.0.2", "a"), ("10.0.0.2", "a"))
 
-    def test_other_domains_see_another_cut(self):
-        assert not self.heard(("10.0.1.2", "c"), ("10.0.1.3", "c"))
+    def test_reports_from_other_domains_are_ignored(self):
+        assert not self.is_unreachable_after(("10.0.1.2", "c"), ("10.0.1.3", "c"))
--- a/tests/platform/standin_server.py
+++ b/tests/platform/standin_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's backend servers, with the ways in which they misbehave."""
+"""A stand-in for the platform's backend servers that can be scripted to misbehave."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True)
 class Whole:
-    """Answer a request whole; ``request_id`` puts another id into the answer.
+    """Send a complete response; ``request_id`` overrides the request ID in it.
 
-    Without a body of its own the answer's body is the request's id.
+    If ``body`` is None, the response's body is the request ID.
     """
 
     body: bytes | None = b"done"
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True)
 class Events:
-    """Stream events from ``first`` to ``last``; then end, be cut, or fall silent.
+    """Stream events from ``first`` to ``last``, then end, close the connection or stop sending.
 
-    The answer begins ``begin_after`` seconds after the request, as with a first token that is late.
-    Behind event ``silent_after`` nothing comes for ``silent_for`` seconds, as with an engine that
-    reads a long prompt beside the stream.
+    The response begins ``begin_after`` seconds after the request, like a late first token. After
+    event ``silent_after`` there is a pause of ``silent_for`` seconds, as with an engine that
+    prefills a long prompt while it decodes the stream.
     """
 
     first: int = 1
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Say that the request has not run, and for how many seconds the server wants no other."""
+    """Refuse the request as not run; ``back_off`` is the Retry-After time in seconds, if any."""
 
     status: int = 503
     headers: tuple[bytes, ...] = (b"Not-Run: 1",)
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Close:
-    """Read the request and close without a word; ``reset`` aborts the connection."""
+    """Read the request and close the connection without a response."""
 
 
 @dataclass(frozen=True)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Unframed:
-    """Answer without a length; the end of the connection is the end of the body."""
+    """Respond without a length; the body ends when the connection is closed."""
 
     body: bytes = b"unframed"
 
@@ -76,8 +76,8 @@
 
 
 @dataclass
-class Seen:
-    """One request as the server read it."""
+class ReceivedRequest:
+    """One request as received by the server."""
 
     head: str
     body: bytes
@@ -88,34 +88,35 @@
 
 @dataclass
 class StandinServer:
-    """Serve one request after the other as the script says, the last entry again and again.
+    """Serve requests in the order of the script, repeating its last entry.
 
-    All answers name ``rate_limit``, in requests a second, unless it is None, and say whether the
-    server is ``leaving``.  ``account`` tells
-    whether VMs keep to it; every test checks the accounts of all its servers at its end.
+    All responses carry ``rate_limit``, in requests a second, unless it is None, and state whether
+    the server is ``leaving``. ``account`` records whether VMs comply; at its end, every test checks
+    the accounts of all its servers.
 
-    A body in ``deadly`` ends the whole process ``dies_after`` seconds later, with all that is
-    open there.  It is back ``back_after`` seconds after that, and ``on_back`` is told.
+    A request whose body is in ``crashing_bodies`` crashes the process ``crash_after`` seconds
+    later, with everything open there. It restarts ``restart_after`` seconds after that and calls
+    ``on_restart``.
     """
 
     name: str
     script: deque[Behaviour] = field(default_factory=deque)
-    seen: list[Seen] = field(default_factory=list)
+    seen: list[ReceivedRequest] = field(default_factory=list)
     closed: list[int] = field(default_factory=list)
     connections: int = 0
     host: str = "127.0.0.1"
     port: int = 0
-    deadly: frozenset[bytes] = frozenset()
-    dies_after: float = 0.05
-    back_after: float = 0.4
+    crashing_bodies: frozenset[bytes] = frozenset()
+    crash_after: float = 0.05
+    restart_after: float = 0.4
     starts: int = 1
-    on_back: Callable[["StandinServer"], None] = lambda server: None
-    life: trio.CancelScope | None = None
+    on_restart: Callable[["StandinServer"], None] = lambda server: None
+    process: trio.CancelScope | None = None
     rate_limit: float | None = None
     leaving: bool = False
     account: ServerAccount = field(init=False)
 
-    # The servers of the running test.
+    # The servers created by the running test.
     started: ClassVar[list["StandinServer"]] = []
 
     def __post_init__(self) -> None:
@@ -123,7 +124,7 @@
         self.started.append(self)
 
     async def serve(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen on a free port, and on the same one again after each end."""
+        """Listen on a free port, and on the same port again after each crash."""
         async with trio.open_nursery() as self._nursery:
             while True:
                 listeners = await trio.open_tcp_listeners(self.port, host=self.host)
@@ -131,22 +132,22 @@
                 if self.starts == 1:
                     task_status.started()
                 else:
-                    self.on_back(self)
-                with trio.CancelScope() as self.life:
+                    self.on_restart(self)
+                with trio.CancelScope() as self.process:
                     await trio.serve_listeners(self._serve_one, listeners)
-                await trio.sleep(self.back_after)
+                await trio.sleep(self.restart_after)
                 self.starts += 1
-                self.account.restarted()
+                self.account.record_restart()
 
     @property
-    def ends(self) -> int:
-        """Return how often the process has ended."""
-        return self.starts - 1 + self.life.cancel_called
+    def crash_count(self) -> int:
+        """Return how many times the process has crashed."""
+        return self.starts - 1 + self.process.cancel_called
 
-    async def _end_soon(self) -> None:
-        life = self.life
-        await trio.sleep(self.dies_after)
-        life.cancel()
+    async def _crash_soon(self) -> None:
+        process = self.process
+        await trio.sleep(self.crash_after)
+        process.cancel()
 
     async def _serve_one(self, stream: trio.SocketStream) -> None:
         self.connections += 1
@@ -169,11 +170,11 @@
                 body, buffered = buffered[:length], buffered[length:]
                 behaviour = self._next()
                 ran = not isinstance(behaviour, Refuse)
-                self.seen.append(Seen(lines[0], body, headers, number, ran))
+                self.seen.append(ReceivedRequest(lines[0], body, headers, number, ran))
                 if "Request-Id" in headers:
-                    self.account.arrived(vm, trio.current_time())
-                if body in self.deadly:
-                    self._nursery.start_soon(self._end_soon)
+                    self.account.record_request(vm, trio.current_time())
+                if body in self.crashing_bodies:
+                    self._nursery.start_soon(self._crash_soon)
                 if not await self._answer(stream, vm, headers, behaviour):
                     return
         except trio.BrokenResourceError:
@@ -185,14 +186,16 @@
     def _next(self) -> Behaviour:
         return self.script.popleft() if len(self.script) > 1 else self.script[0]
 
-    def _asks(self, vm: str, back_off: float | None = None, told: bool = True) -> list[bytes]:
-        """Return the header lines by which an answer to a VM asks for something.
+    def _restriction_headers(
+        self, vm: str, back_off: float | None = None, effective: bool = True
+    ) -> list[bytes]:
+        """Return the header lines with the restrictions in a response to a VM.
 
-        ``told`` is False for an answer that the VM must not believe.
+        ``effective`` is False for a response whose restrictions the VM must ignore.
         """
-        if told:
+        if effective:
             now = trio.current_time()
-            self.account.answered(vm, now, self.rate_limit, back_off, self.leaving)
+            self.account.record_answer(vm, now, self.rate_limit, back_off, self.leaving)
         lines = []
         if self.rate_limit is not None:
             lines.append(b"Server-Limit: %g" % self.rate_limit)
@@ -209,11 +212,11 @@
         match behaviour:
             case Whole() as whole:
                 await trio.sleep(whole.begin_after)
-                asks = self._asks(vm, told=whole.request_id is None)
+                asks = self._restriction_headers(vm, effective=whole.request_id is None)
                 await stream.send_all(_whole(whole, request_id, asks) + whole.after)
                 return True
             case Refuse(status=status, headers=more, back_off=back_off):
-                asks = self._asks(vm, back_off)
+                asks = self._restriction_headers(vm, back_off)
                 lines = [b"HTTP/1.1 %d No" % status, b"Content-Length: 0", *more, *asks]
                 await stream.send_all(b"\r\n".join(lines) + b"\r\n\r\n")
                 return True
@@ -223,7 +226,9 @@
                 return False
             case Events() as events:
                 await trio.sleep(events.begin_after)
-                return await _events(stream, events, request_id, headers, self._asks(vm))
+                return await _events(
+                    stream, events, request_id, headers, self._restriction_headers(vm)
+                )
             case Silent():
                 await stream.receive_some()
                 return False
@@ -232,11 +237,11 @@
 
 
 def _peer(stream: trio.SocketStream) -> str:
-    """Return the address of the VM at the other end."""
+    """Return the address of the connected VM."""
     try:
         return stream.socket.getpeername()[0]
     except OSError as error:
-        raise trio.BrokenResourceError("the VM was gone before it was heard") from error
+        raise trio.BrokenResourceError("the VM disconnected before it was identified") from error
 
 
 def _whole(whole: Whole, request_id: bytes, asks: list[bytes]) -> bytes:
@@ -253,7 +258,7 @@
 
 
 def event(number: int) -> bytes:
-    """Return one event."""
+    """Return the encoded event with a number."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
--- a/tests/transport/test_early.py
+++ b/tests/transport/test_early.py
@@ -1,4 +1,4 @@
-"""Tests of listening before the program is loaded."""
+"""Tests of listening before the program is imported."""
 
 import json
 import socket
@@ -7,7 +7,7 @@
 
 from siskinspoke.gateway.clients import ClientServer
 from siskinspoke.platform import SETTINGS_VARIABLE
-from siskinspoke.transport.early import listen_early, take_early
+from siskinspoke.transport.early import listen_early, take_early_listener
 from tests.platform.site import gateway_site, read_answer, request_bytes, servers
 from tests.platform.standin_server import Whole
 
@@ -16,9 +16,9 @@
 
 def free_port() -> int:
     """Return a port that is free."""
-    with socket.socket() as found:
-        found.bind((HOST, 0))
-        return found.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind((HOST, 0))
+        return probe.getsockname()[1]
 
 
 def settings_file(tmp_path, **fields) -> str:
@@ -28,14 +28,14 @@
     return str(path)
 
 
-class TestEarly:
-    """Callers who come while an entry VM is loaded wait a moment, and are served."""
+class TestEarlyListener:
+    """Connections made during the imports of an entry VM wait and are served."""
 
-    def test_caller_of_that_time_is_served(self, tmp_path):
-        """All entry VMs are killed and started again; a caller connects 0.1 s later.
+    def test_early_connection_is_served(self, tmp_path):
+        """Guards against refused connections while restarted entry VMs are not listening yet.
 
-        Its machine refused the connection, as nobody listened yet, and its second and last try met
-        the same half a second.
+        A caller that connects 0.1 s after the restart retries only once, within the same half
+        second.
         """
 
         async def run():
@@ -56,25 +56,25 @@
 
         trio.run(run)
 
-    def test_file_that_the_environment_names(self, tmp_path, monkeypatch):
+    def test_settings_file_from_environment(self, tmp_path, monkeypatch):
         port = free_port()
         path = settings_file(tmp_path, public=f"{HOST}:{port}")
         monkeypatch.setenv(SETTINGS_VARIABLE, path)
         listen_early([])
-        with take_early(HOST, port) as listener:
+        with take_early_listener(HOST, port) as listener:
             assert listener.getsockname() == (HOST, port)
-        assert take_early(HOST, port) is None
+        assert take_early_listener(HOST, port) is None
 
-    def test_what_is_wrong_is_left_to_the_command(self, tmp_path):
+    def test_invalid_settings_are_ignored(self, tmp_path):
         for fields in ({}, {"public": ""}, {"public": 7}, {"public": "nobody"}):
             listen_early([f"--vm_file={settings_file(tmp_path, **fields)}"])
         listen_early([f"--vm_file={tmp_path / 'missing'}"])
-        assert take_early(HOST, 1) is None
+        assert take_early_listener(HOST, 1) is None
 
-    def test_address_that_is_taken(self, tmp_path):
+    def test_address_in_use(self, tmp_path):
         with socket.socket() as other:
             other.bind((HOST, 0))
             other.listen()
             port = other.getsockname()[1]
             listen_early([f"--vm_file={settings_file(tmp_path, public=f'{HOST}:{port}')}"])
-            assert take_early(HOST, port) is None
+            assert take_early_listener(HOST, port) is None
--- a/tests/transport/test_pages.py
+++ b/tests/transport/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests of the small pages for machines."""
+"""Tests of the readiness and metrics pages."""
 
 import trio
 
@@ -32,7 +32,7 @@
 
 
 class TestPages:
-    """Each page is made anew for each request."""
+    """Pages are generated for each request."""
 
     def test_answers_change_on_one_connection(self):
         status = [200]
@@ -46,7 +46,7 @@
 
         _run({"/readyz": lambda: Page(status[0])}, scenario)
 
-    def test_what_is_no_http_ends_its_connection_alone(self):
+    def test_invalid_http_closes_only_its_connection(self):
         async def scenario(port):
             bad = await trio.open_tcp_stream("127.0.0.1", port)
             await bad.send_all(b"\x00\x01nonsense\r\n\r\n")
