--- a/siskinspoke/bench/feed_slopes.py
+++ b/siskinspoke/bench/feed_slopes.py
@@ -43,7 +43,7 @@
 
 
 async def announce(site: GroupSite, rate: int) -> None:
-    """Send ``a_second`` announcements per second, for ``SERVERS`` servers in turn."""
+    """Send ``rate`` announcements per second, for ``SERVER_COUNT`` servers in turn."""
     url = f"http://{site.host_of('c1')}:{OPERATORS_PORT}/instances/i-%d/heartbeat"
     seq = time.time_ns()
     async with httpx.AsyncClient(trust_env=False) as client:
--- a/siskinspoke/bench/pass_bench.py
+++ b/siskinspoke/bench/pass_bench.py
@@ -184,7 +184,7 @@
 
     @property
     def size(self) -> float:
-        """Return the size relative to the mean of the kind, capped at ``MOST_SIZE``."""
+        """Return the size relative to the mean of the kind, capped at ``MAX_SIZE``."""
         own = self.job.tokens + OUTPUT_TOKEN_WEIGHT * self.job.max_tokens
         mean = self.kind.mean_tokens + OUTPUT_TOKEN_WEIGHT * self.kind.mean_events * 51
         return min(MAX_SIZE, 0.3 + 0.7 * own / mean)
--- a/siskinspoke/coordination/crash_watch.py
+++ b/siskinspoke/coordination/crash_watch.py
@@ -100,7 +100,7 @@
         return self._ledger
 
     def start_run(self, subject: RequestIdentity, starts: Iterable[Start], now: float) -> OpenRun:
-        """Register an attempt; the caller must pass it to ``ended`` later."""
+        """Register an attempt; the caller must pass it to ``end_run`` later."""
         run = OpenRun(subject, frozenset(starts), now)
         self._open_runs.add(run)
         return run
--- a/siskinspoke/coordination/crashes.py
+++ b/siskinspoke/coordination/crashes.py
@@ -56,7 +56,7 @@
 LIKELY_CAUSE_CRASHES = 4
 # VMs observe the end of the same server a few milliseconds apart.
 OBSERVATION_SKEW_MS = 20.0
-# Crashes are kept for one hour, and at most MOST_CRASHES of them. A request whose crashes have all
+# Crashes are kept for one hour, and at most MAX_CRASHES of them. A request whose crashes have all
 # been dropped starts with no evidence against it.
 CRASH_RETENTION_MS = 3_600_000.0
 MAX_CRASHES = 1_024
--- a/siskinspoke/coordination/directory.py
+++ b/siskinspoke/coordination/directory.py
@@ -225,7 +225,7 @@
         )
 
     def is_routable(self, record: ServerRecord, now: float) -> bool:
-        """Return whether ``believed`` would return this server for its service."""
+        """Return whether ``routable`` would return this server for its service."""
         if not self._may_serve(record.announcement):
             return False
         return self._is_live(record, now) or not self.has_live_server(
@@ -233,7 +233,7 @@
         )
 
     def routable_among(self, names: Iterable[str], now: float) -> list[ServerRecord]:
-        """Return the servers among ``names`` that may get work, by the rule of ``believed``."""
+        """Return the servers among ``names`` that may get work, by the rule of ``routable``."""
         known = [record for name in names if (record := self._records.get(name)) is not None]
         live = [item for item in known if self._accepts_work(item, now)]
         return live or [item for item in known if self._may_serve(item.announcement)]
--- a/siskinspoke/coordination/retry_timing.py
+++ b/siskinspoke/coordination/retry_timing.py
@@ -16,7 +16,7 @@
 
 
 class RetryDecision(NamedTuple):
-    """Whether to retry elsewhere now; if not, check again after ``again_ms``."""
+    """Whether to retry elsewhere now; if not, check again after ``recheck_after_ms``."""
 
     now: bool
     recheck_after_ms: float = 0.0
--- a/siskinspoke/coordination/token_bucket.py
+++ b/siskinspoke/coordination/token_bucket.py
@@ -22,7 +22,7 @@
         self._filled_at = now
 
     def take(self, rate: float, burst: float, now: float, max_wait_ms: float = 0.0) -> TokenGrant:
-        """Take a token usable within ``patience_ms``, or return when the next one is available."""
+        """Take a token usable within ``max_wait_ms``, or return when the next one is available."""
         self._tokens = min(burst, self._tokens + rate * max(0.0, now - self._filled_at) / 1000)
         self._filled_at = now
         wait_ms = max(0.0, (1 - self._tokens) / rate * 1000)
--- a/siskinspoke/testing/proxy.py
+++ b/siskinspoke/testing/proxy.py
@@ -22,7 +22,7 @@
 class Rule(NamedTuple):
     """The faults injected into traffic from one failure domain to another.
 
-    ``drop`` and ``double`` are probabilities; these and ``jitter_seconds`` apply to datagrams only.
+    The probabilities and ``jitter_seconds`` apply to datagrams only.
     """
 
     cut: bool = False
--- a/siskinspoke/testing/replica_group.py
+++ b/siskinspoke/testing/replica_group.py
@@ -244,7 +244,7 @@
     def check_invariants(self) -> None:
         """Raise InvariantError if two replicas led one term.
 
-        Also clears ``unhealed`` once the replica with the wiped disk is admitted.
+        Also clears ``wiped_name`` once the replica with the wiped disk is admitted.
         """
         wiped = self.replicas.get(self.wiped_name)
         if wiped is not None and wiped.admitted:
