--- a/siskinspoke/bench/pass_bench.py
+++ b/siskinspoke/bench/pass_bench.py
@@ -43,8 +43,8 @@
 class PromptKind(NamedTuple):
     """A class of prompts.
 
-    ``tokens`` and ``events`` are means; ``on_time`` and ``late`` are the values of an answer that
-    meets its target and of one that misses it.
+    ``value_on_time`` and ``value_late`` are the values of an answer that meets its target and of
+    one that misses it.
     """
 
     name: str
--- a/siskinspoke/coordination/directory.py
+++ b/siskinspoke/coordination/directory.py
@@ -40,7 +40,7 @@
 class ServerRecord:
     """The latest announcement of a server and when it was received.
 
-    ``recalled`` is set for a server that was restored after a restart of this VM and has not
+    ``is_restored`` is set for a server that was restored after a restart of this VM and has not
     announced itself since.
     """
 
--- a/siskinspoke/coordination/server_health.py
+++ b/siskinspoke/coordination/server_health.py
@@ -82,10 +82,10 @@
             record.latency_ms += LATENCY_EWMA_WEIGHT * (latency_ms - record.latency_ms)
         record.latency_at = now
 
-    def record_failure(self, server: str, trouble: FailureKind, now: float) -> None:
+    def record_failure(self, server: str, kind: FailureKind, now: float) -> None:
         """Record a failure, and eject the server if its kind or the failure rate calls for it."""
         record = self._record(server)
-        match trouble:
+        match kind:
             case FailureKind.HELD:
                 # This VM has not sent it the request.
                 return
--- a/siskinspoke/coordination/work_table.py
+++ b/siskinspoke/coordination/work_table.py
@@ -51,7 +51,7 @@
 
     ``held`` is the number of prompt tokens whose KV cache each server after the first keeps until
     the end of the request.  The first server keeps the rest, and the answer.  No other request
-    should be placed on the servers of work that is ``alone``.
+    should be placed on the servers of work that is ``exclusive``.
     """
 
     job: Job
--- a/siskinspoke/gateway/assignment.py
+++ b/siskinspoke/gateway/assignment.py
@@ -130,13 +130,13 @@
         records = _local_servers(gateway, records, local_only)
         return Assignment(least_loaded(gateway, records)) if records else None
     found = None
-    look = RoomSearch(request.service, frozenset(excluded), local_only)
+    search = RoomSearch(request.service, frozenset(excluded), local_only)
     tokens, now = job.tokens + job.max_tokens, now_ms()
-    if not gateway.no_room_cache.found_no_room(look, tokens, now):
+    if not gateway.no_room_cache.found_no_room(search, tokens, now):
         records = reachable_unlimited(gateway, cell_candidates(gateway, request.service, excluded))
         found = choose_engines(gateway, costs, job, _local_servers(gateway, records, local_only))
         if found is None:
-            gateway.no_room_cache.record(look, tokens, now)
+            gateway.no_room_cache.record(search, tokens, now)
     if found is None and other_cells and gateway.cells.other_cells:
         found = _choose_in_other_cells(gateway, request.service, job, costs, excluded)
     return None if found is None else _assignment(gateway, found, job, costs)
--- a/siskinspoke/gateway/cells.py
+++ b/siskinspoke/gateway/cells.py
@@ -1,4 +1,4 @@
-"""The cell of this VM: the entry VMs with which it shares engine load state, and their servers."""
+"""The cell of this VM: the entry VMs with which it shares a work table, and their servers."""
 
 from collections.abc import Callable, Iterable
 
--- a/siskinspoke/gateway/context.py
+++ b/siskinspoke/gateway/context.py
@@ -115,7 +115,7 @@
 
     @property
     def work_table(self) -> WorkTable:
-        """Return the load state of the engines."""
+        """Return the work table of the engines."""
         return self.placement.work_table
 
 
--- a/siskinspoke/gateway/peers.py
+++ b/siskinspoke/gateway/peers.py
@@ -96,7 +96,7 @@
         self._send_now = trio.Event()
 
     def begin_work(self, work: Work) -> int:
-        """Record work in the load state of this VM and of its peers, and return its number."""
+        """Record work in the work tables of this VM and its peers, and return its number."""
         self._last_number += 1
         number, job = self._last_number, work.job
         self._work_table.add(self._own_work_key(number), work)
@@ -124,7 +124,7 @@
             self._enqueue(self._update_for(cell).wrote, number)
 
     def end_work(self, number: int) -> None:
-        """Remove finished work from the load state."""
+        """Remove finished work from the work table."""
         self._work_table.remove(self._own_work_key(number))
         for cell in self._tracking_cells.pop(number):
             self._enqueue(self._update_for(cell).ended, number)
@@ -301,5 +301,5 @@
 
 
 def _work_key(host: str, start: str, number: int | str) -> str:
-    """Return the key of work in the load state."""
+    """Return the key of work in the work table."""
     return f"{host}/{start}/{number}"
--- a/siskinspoke/gateway/plain.py
+++ b/siskinspoke/gateway/plain.py
@@ -202,8 +202,8 @@
                 if answer.status < 500 or not repeatable:
                     return outcome
                 self._last_result = outcome
-            case NotRun(failure_kind=trouble):
-                self._retry_state.refusals += trouble is not FailureKind.HELD
+            case NotRun(failure_kind=failure_kind):
+                self._retry_state.refusals += failure_kind is not FailureKind.HELD
             case OutcomeUnknown(reason=reason):
                 self._last_result = self._last_result or Failure(ResultCode.FATE_UNKNOWN, reason)
                 if not repeatable:
@@ -215,8 +215,8 @@
     gateway: Gateway, request: Request, retry_state: RetryState
 ) -> list[ServerRecord]:
     """Return the servers that the request may still be sent to."""
-    left_out = retry_state.excluded.current(gateway.directory, now_ms())
-    return candidates(gateway, request.service, left_out)
+    excluded = retry_state.excluded.current(gateway.directory, now_ms())
+    return candidates(gateway, request.service, excluded)
 
 
 def no_server_failure(gateway: Gateway, request: Request, message: str) -> Failure:
--- a/siskinspoke/gateway/relaying.py
+++ b/siskinspoke/gateway/relaying.py
@@ -75,8 +75,8 @@
     """Return the outcome of an abandoned attempt: silence, unless something else ended it."""
     if not attempt.end_reason:
         return OutcomeUnknown(FailureKind.SILENT, "the stream fell silent")
-    trouble = FailureKind.BROKEN if attempt.server_lost else FailureKind.SILENT
-    return OutcomeUnknown(trouble, attempt.end_reason, attempt.server_lost)
+    failure_kind = FailureKind.BROKEN if attempt.server_lost else FailureKind.SILENT
+    return OutcomeUnknown(failure_kind, attempt.end_reason, attempt.server_lost)
 
 
 def silent_ms(request: Request) -> float:
--- a/siskinspoke/gateway/servers.py
+++ b/siskinspoke/gateway/servers.py
@@ -153,21 +153,21 @@
         gateway.directory.mark_leaving(server, incarnation)
         gateway.log.note("server.misdirected", server=server, request=request.call.id)
         return
-    faulty, trouble = server, outcome.failure_kind
+    faulty, failure_kind = server, outcome.failure_kind
     if isinstance(outcome, NotRun) and outcome.member is not None:
         faulty = outcome.member
     if isinstance(outcome, NotRun) and outcome.at_fault is not None:
         faulty = _server_at(gateway, outcome.at_fault) or server
         # This VM may well reach that server, so a probe from here would prove nothing.
-        trouble = FailureKind.SILENT
+        failure_kind = FailureKind.SILENT
     was_excluded = gateway.server_health.is_ejected(faulty, now)
-    gateway.server_health.record_failure(faulty, trouble, now)
+    gateway.server_health.record_failure(faulty, failure_kind, now)
     if gateway.server_health.is_ejected(faulty, now) and not was_excluded:
         gateway.log.note(
             "server.aside",
             server=faulty,
             request=request.call.id,
-            trouble=trouble.value,
+            trouble=failure_kind.value,
             failure_share=round(gateway.server_health.failure_share(faulty), 2),
         )
 
--- a/siskinspoke/gateway/streams.py
+++ b/siskinspoke/gateway/streams.py
@@ -172,10 +172,10 @@
     logged: RetryObstacle | None = None
     isolation_deadline = now_ms() + ISOLATION_WAIT_SHARE * request.remaining_ms(now_ms())
     while (planned := retry_state.take_planned(gateway)) is None:
-        left_out = retry_state.excluded.current(gateway.directory, now_ms())
+        excluded = retry_state.excluded.current(gateway.directory, now_ms())
         may_wait = now_ms() < isolation_deadline
         assignment = await assign(
-            gateway, request, relay.last_event_at, left_out, retry_state.local_only, may_wait
+            gateway, request, relay.last_event_at, excluded, retry_state.local_only, may_wait
         )
         if assignment is not None and retry_state.reserve_retry(gateway, request):
             return _book(gateway, assignment)
@@ -265,9 +265,9 @@
                 _reserve_memory(gateway, assignment, work)
             )
             if isinstance(reservation, ReservationRefused):
-                trouble = FailureKind.BUSY if reservation.full else FailureKind.UNREACHABLE
+                failure_kind = FailureKind.BUSY if reservation.full else FailureKind.UNREACHABLE
                 reason = f"memory could not be reserved at {reservation.server}"
-                outcome = NotRun(trouble, reason, arrived=False, member=reservation.server)
+                outcome = NotRun(failure_kind, reason, arrived=False, member=reservation.server)
                 run.end = RunEnd.NOT_RUN
                 return outcome
             dispatch = _dispatch(request, assignment, relay, reservation)
@@ -371,8 +371,8 @@
 
     def reconsider(attempt: Attempt, now: float) -> str:
         left = request.route.target_ms - (now - request.arrived_ms)
-        left_out = retry_state.excluded.current(gateway.directory, now) | {assignment.name}
-        others = cell_candidates(gateway, request.service, left_out)
+        excluded = retry_state.excluded.current(gateway.directory, now) | {assignment.name}
+        others = cell_candidates(gateway, request.service, excluded)
         urgent_job = assignment.job._replace(target_ms=max(MIN_TARGET_MS, left))
         best = choose_engines(gateway, assignment.costs, urgent_job, others) if others else None
         expected = None if best is None else best.first_token_ms
@@ -407,8 +407,8 @@
         pause_ms = assignment.job.pause_ms
         if reads_ms <= pause_ms or failover.obstacle is not None:
             return ""
-        left_out = retry_state.excluded.current(gateway.directory, now) | {assignment.name}
-        others = cell_candidates(gateway, request.service, left_out)
+        excluded = retry_state.excluded.current(gateway.directory, now) | {assignment.name}
+        others = cell_candidates(gateway, request.service, excluded)
         urgent_job = assignment.job._replace(target_ms=pause_ms)
         best = choose_engines(gateway, assignment.costs, urgent_job, others) if others else None
         expected = None if best is None else best.first_token_ms
--- a/siskinspoke/transport/http.py
+++ b/siskinspoke/transport/http.py
@@ -60,7 +60,7 @@
 
 async def _internal(error) -> Response:
     logger.error("request failed: {!r}", getattr(error, "original_exception", error))
-    return failure_response(Failure(ResultCode.INTERNAL, "internal error on this VM"))
+    return failure_response(Failure(ResultCode.INTERNAL, "internal error of this VM"))
 
 
 async def serve(server: HttpServer, shutdown: trio.Event, task_status=trio.TASK_STATUS_IGNORED):
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -114,7 +114,7 @@
 
 
 class TestUpdates:
-    """Work of one VM appears in the load state of the others."""
+    """Work of one VM appears in the work tables of the others."""
 
     def test_begin_and_end_reach_other_vm(self):
         """Two VMs exchange updates by datagram: first work begins, then it ends."""
